--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -95,7 +95,7 @@
 
     /** Whether other sidecars may report attempts at this one's upstreams. */
     public boolean hasSubsetPeers() {
-        return topology.rendezvousSubsets() || !subsetPeers.isEmpty();
+        return topology.usesRendezvousSubsets() || !subsetPeers.isEmpty();
     }
 
     /** The zone code of each known sidecar, this one included; a live view. */
@@ -117,7 +117,7 @@
 
     /** Asks another sidecar for all zones when it is time, each time another one. */
     public void advance(double now) {
-        if (now < nextAskAt || topology.rendezvousSubsets()) {
+        if (now < nextAskAt || topology.usesRendezvousSubsets()) {
             return;
         }
         boolean isUnanswered = asksSent <= UNANSWERED_BEFORE_BROADCAST && !wasAnswered;
@@ -136,7 +136,7 @@
 
     /** When {@link #advance} is to be called at the latest. */
     public double nextWakeUp() {
-        return topology.rendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
+        return topology.usesRendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
     }
 
     // ---- Sending ----------------------------------------------------------------------------------------
@@ -191,7 +191,7 @@
             return null;
         }
         receivedAt = now;
-        PeerMessage message = topology.rendezvousSubsets()
+        PeerMessage message = topology.usesRendezvousSubsets()
                 ? PeerMessageCodec.decodeByRendezvous(text)
                 : PeerMessageCodec.decodeInSubset(text);
         if (message instanceof AttemptReport report) {
--- a/core/src/main/java/portrelay/model/AdaptiveLimit.java
+++ b/core/src/main/java/portrelay/model/AdaptiveLimit.java
@@ -65,9 +65,9 @@
     /**
      * An attempt has ended.
      *
-     * @param tellsOfFleet whether its lateness, if any, is not the fault of its upstream alone
+     * @param countsForFleet whether its lateness, if any, is not the fault of its upstream alone
      */
-    public void attemptEnded(double now, double sentAt, boolean isLate, boolean tellsOfFleet) {
+    public void attemptEnded(double now, double sentAt, boolean isLate, boolean countsForFleet) {
         boolean wasReached = inFlight-- + 1 > limit;
         wasReachedInRound |= wasReached;
         // At first nothing is known of the fleet: each prompt outcome raises the limit until a round is late.
@@ -75,7 +75,7 @@
             limit += increment;
         }
         // What was sent before the last decrease tells nothing of the lower limit, nor one slow upstream of the fleet.
-        if (sentAt < decreasedAt || isLate && !tellsOfFleet && limit > 1) {
+        if (sentAt < decreasedAt || isLate && !countsForFleet && limit > 1) {
             return;
         }
         lateOutcomes.add(now, isLate ? 1 : 0);
--- a/core/src/main/java/portrelay/model/AttemptRules.java
+++ b/core/src/main/java/portrelay/model/AttemptRules.java
@@ -6,7 +6,8 @@
  * @param maxAttempts at least 1, the first included
  * @param cancelAllowed whether attempts may be cancelled
  * @param concurrentAttemptsAllowed whether a request may have several attempts in flight
- * @param probesAllowed whether upstreams may be probed for their load; no decision reads it but {@link Topology#probes}
+ * @param probesAllowed whether upstreams may be probed for their load; decisions read {@link Topology#probesAllowed}
+ *     instead
  * @param maxRetryAfter seconds that a rejected client may be told to wait at most; 0 where clients take no advice
  */
 public record AttemptRules(
--- a/core/src/main/java/portrelay/model/GroupId.java
+++ b/core/src/main/java/portrelay/model/CellId.java
@@ -1,4 +1,4 @@
 package portrelay.model;
 
 /** A cell: a part of a zone, and a deduplication scope. */
-public record GroupId(long value) {}
+public record CellId(long value) {}
--- a/core/src/main/java/portrelay/model/Endpoint.java
+++ b/core/src/main/java/portrelay/model/Endpoint.java
@@ -12,7 +12,7 @@
         Health health,
         double startedAt,
         double weight,
-        GroupId cell,
+        CellId cell,
         ZoneId zone,
         InstanceTypeId instanceType) {
 
--- a/core/src/main/java/portrelay/model/IdleConnectionAge.java
+++ b/core/src/main/java/portrelay/model/IdleConnectionAge.java
@@ -23,18 +23,18 @@
     private double broadcastAt = Double.NEGATIVE_INFINITY;
 
     /** Whether idle connections have been dropped recently. */
-    public boolean isDropping(double now) {
+    public boolean hasRecentDrops(double now) {
         return now < droppingUntil;
     }
 
     /** Whether a connection that has been idle for so long is better replaced than used. */
     public boolean shouldReplace(double idleSeconds, double now) {
-        return isDropping(now) && idleSeconds > lostAges.secondSmallest() * REPLACE_AGE_SHARE;
+        return hasRecentDrops(now) && idleSeconds > lostAges.secondSmallest() * REPLACE_AGE_SHARE;
     }
 
     /** Whether fewer than two ages are known: one alone may be an accident and sets no limit. */
     public boolean hasFewSamples(double now) {
-        return !isDropping(now) || lostAges.size() < 2;
+        return !hasRecentDrops(now) || lostAges.size() < 2;
     }
 
     /** Whether a connection lost here is to be reported to peers; if so, the message counts as sent. */
@@ -47,8 +47,8 @@
     }
 
     /** A request was lost on a connection that had been idle for so long, here or at a peer. */
-    public void recordLost(double idleSeconds, double now) {
-        if (!isDropping(now)) {
+    public void recordLostConnection(double idleSeconds, double now) {
+        if (!hasRecentDrops(now)) {
             lostAges.clear();
         }
         lostAges.add(idleSeconds);
--- a/core/src/main/java/portrelay/model/SequentialTest.java
+++ b/core/src/main/java/portrelay/model/SequentialTest.java
@@ -13,7 +13,7 @@
     private static final double USUAL_OVER_BROKEN_SUCCESS = 10;
 
     /** The evidence after one more outcome, where the given share of all outcomes fails. */
-    public double after(double evidence, double failureShare, boolean isFailed) {
+    public double evidenceAfter(double evidence, double failureShare, boolean isFailed) {
         double usual = Math.min(maxFailureShare, Math.max(minFailureShare, failureShare));
         double broken = (USUAL_OVER_BROKEN_SUCCESS - 1 + usual) / USUAL_OVER_BROKEN_SUCCESS;
         double step = isFailed ? Math.log(broken / usual) : Math.log((1 - broken) / (1 - usual));
--- a/core/src/main/java/portrelay/model/Topology.java
+++ b/core/src/main/java/portrelay/model/Topology.java
@@ -6,8 +6,8 @@
  * @param sidecarIndex its number, from 0
  * @param sidecarCount the number of sidecars, at least 1
  * @param zone null where the settings name none
- * @param peers whether sidecars may send each other messages
- * @param probes whether upstreams may be probed for their load
+ * @param peerMessagesAllowed whether sidecars may send each other messages
+ * @param probesAllowed whether upstreams may be probed for their load
  */
 public record Topology(
         int sidecarIndex,
@@ -15,8 +15,8 @@
         ZoneId zone,
         Weights weights,
         Reports reports,
-        boolean peers,
-        boolean probes) {
+        boolean peerMessagesAllowed,
+        boolean probesAllowed) {
 
     /** What the weights of the endpoint list are: nothing, capacities, rough capacities, or lowered by the load. */
     public enum Weights {
@@ -35,26 +35,27 @@
 
     /** Whether load is probed before a request is sent. */
     public boolean probesLoad() {
-        return reports == Reports.WITH_PROBES && probes;
+        return reports == Reports.WITH_PROBES && probesAllowed;
     }
 
     /** Whether sidecars report attempts to each other, as load reports come too late to select by. */
     public boolean sharesLoad() {
-        return reports != Reports.WITH_PROBES && peers && sidecarCount > 1;
+        return reports != Reports.WITH_PROBES && peerMessagesAllowed && sidecarCount > 1;
     }
 
     /** Whether rendezvous hashing chooses the sidecars of an upstream: where nothing else shows its load. */
-    public boolean rendezvousSubsets() {
+    public boolean usesRendezvousSubsets() {
         return sharesLoad() && reports == Reports.SILENT;
     }
 
     /** The same place on sockets, where upstreams report no load, and messages pass only if there is a way for them. */
     public Topology overSockets(boolean hasMessages) {
-        return new Topology(sidecarIndex, sidecarCount, zone, weights, Reports.SILENT, peers && hasMessages, false);
+        return new Topology(
+                sidecarIndex, sidecarCount, zone, weights, Reports.SILENT, peerMessagesAllowed && hasMessages, false);
     }
 
     /** The same place without any other sidecar. */
     public Topology standalone() {
-        return new Topology(0, 1, zone, weights, reports, peers, probes);
+        return new Topology(0, 1, zone, weights, reports, peerMessagesAllowed, probesAllowed);
     }
 }
--- a/core/src/main/java/portrelay/model/WatchSchedule.java
+++ b/core/src/main/java/portrelay/model/WatchSchedule.java
@@ -17,7 +17,7 @@
     }
 
     /** Whether a poll is due; it then counts as outstanding. */
-    public boolean pollIfDue(double now) {
+    public boolean beginPollIfDue(double now) {
         if (now < nextAt) {
             return false;
         }
--- a/core/src/main/java/portrelay/policy/LoadBalancer.java
+++ b/core/src/main/java/portrelay/policy/LoadBalancer.java
@@ -184,7 +184,7 @@
         nowSeconds = time;
         pendingWakeUp.fired(time);
         requests.fireTimers(time);
-        if (watchSchedule.pollIfDue(time)) {
+        if (watchSchedule.beginPollIfDue(time)) {
             actions.pollDiscovery();
         }
         fleet.subset().advance(time);
--- a/core/src/main/java/portrelay/policy/LoadEstimator.java
+++ b/core/src/main/java/portrelay/policy/LoadEstimator.java
@@ -34,7 +34,7 @@
         this.slowStart = slowStart;
         this.idleConnectionAge = idleConnectionAge;
         this.maxLatencyObjectiveSeconds = maxLatencyObjectiveSeconds;
-        this.isFleetLoadKnown = topology.probesLoad() || topology.sharesLoad() && !topology.rendezvousSubsets();
+        this.isFleetLoadKnown = topology.probesLoad() || topology.sharesLoad() && !topology.usesRendezvousSubsets();
     }
 
     /** The endpoint list has changed; its weights may show the load of the fleet. */
@@ -77,12 +77,12 @@
             return nowSeconds > upstream.reportedAt + MAX_REPORT_AGE_SECONDS;
         }
         return upstream.peerInFlight.unansweredFor(nowSeconds) > MAX_UNANSWERED_SECONDS
-                || upstream.inFlightOnIdleConnections > 0 && idleConnectionAge.isDropping(nowSeconds);
+                || upstream.inFlightOnIdleConnections > 0 && idleConnectionAge.hasRecentDrops(nowSeconds);
     }
 
     /** Whether no sidecar that shares it got an answer for longer than any request in time may take. */
     boolean isUnresponsive(UpstreamState upstream, double nowSeconds) {
-        return topology.rendezvousSubsets()
+        return topology.usesRendezvousSubsets()
                 && !subset.arePeersSilent(nowSeconds)
                 && upstream.peerInFlight.unansweredFor(nowSeconds) > maxLatencyObjectiveSeconds;
     }
--- a/core/src/main/java/portrelay/policy/OutlierDetector.java
+++ b/core/src/main/java/portrelay/policy/OutlierDetector.java
@@ -55,7 +55,7 @@
      */
     void recordOutcome(UpstreamState upstream, boolean isFailed, double nowSeconds) {
         boolean wasEjected = upstream.isEjected();
-        upstream.failureEvidence = TEST.after(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
+        upstream.failureEvidence = TEST.evidenceAfter(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
         fleetFailures.add(nowSeconds, isFailed ? 1 : 0);
         if (!wasEjected && upstream.isEjected()) {
             upstream.ejectedUntil = nowSeconds + EJECTION_SECONDS;
--- a/core/src/main/java/portrelay/policy/PeerReports.java
+++ b/core/src/main/java/portrelay/policy/PeerReports.java
@@ -40,7 +40,7 @@
             return false;
         }
         if (report.event() == AttemptEvent.LOST) {
-            idleConnectionAge.recordLost(report.measure(), nowSeconds);
+            idleConnectionAge.recordLostConnection(report.measure(), nowSeconds);
             return false;
         }
         UpstreamState upstream = subset.upstreamOf(report.code());
@@ -121,6 +121,6 @@
         if (idleConnectionAge.shouldBroadcast(idleSeconds, nowSeconds)) {
             subset.sendConnectionLost(idleSeconds, toAllSidecars);
         }
-        idleConnectionAge.recordLost(idleSeconds, nowSeconds);
+        idleConnectionAge.recordLostConnection(idleSeconds, nowSeconds);
     }
 }
--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -92,7 +92,7 @@
 
     /** The upstream that peers mean by the code; null where there is none. */
     UpstreamState upstreamOf(int code) {
-        if (topology.rendezvousSubsets()) {
+        if (topology.usesRendezvousSubsets()) {
             return upstreams.stream()
                     .filter(each -> PeerMembership.upstreamCode(each.id) == code)
                     .findFirst()
@@ -103,7 +103,7 @@
 
     /** Reports an attempt to the peers that share the upstream. */
     void send(PeerMembership.AttemptEvent event, UpstreamState upstream, int tenant, double durationRatio) {
-        if (topology.rendezvousSubsets()) {
+        if (topology.usesRendezvousSubsets()) {
             membership.sendAttemptEvent(
                     event, PeerMembership.upstreamCode(upstream.id), durationRatio, sharingSidecars(upstream));
         } else if (upstreamSet.contains(upstream)) {
@@ -148,7 +148,7 @@
             nextAssignAt = Double.POSITIVE_INFINITY;
             lastAssignedAt = nowSeconds;
             wasMinorityKnown = membership.isMinorityKnown();
-            upstreams = topology.rendezvousSubsets() ? byRendezvous() : byAssignment();
+            upstreams = topology.usesRendezvousSubsets() ? byRendezvous() : byAssignment();
             upstreamSet = new HashSet<>(upstreams);
         }
         membership.advance(nowSeconds);
--- a/core/src/main/java/portrelay/policy/UpstreamCost.java
+++ b/core/src/main/java/portrelay/policy/UpstreamCost.java
@@ -88,7 +88,7 @@
      * are no such reports. Guards against all sidecars filling the same queues until upstreams are overloaded.
      */
     private boolean canServeInTime(OpenRequest request, UpstreamState upstream, double nowSeconds) {
-        if (!topology.rendezvousSubsets() || subset.arePeersSilent(nowSeconds)) {
+        if (!topology.usesRendezvousSubsets() || subset.arePeersSilent(nowSeconds)) {
             return true;
         }
         double inFlight = load.inFlight(upstream, nowSeconds);
--- a/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
+++ b/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
@@ -32,7 +32,7 @@
                     Endpoint.Health.READY,
                     0,
                     1,
-                    new GroupId(i % ZONES),
+                    new CellId(i % ZONES),
                     new ZoneId(i % ZONES),
                     new InstanceTypeId(0));
             slots.add(new SubsetAssignment.UpstreamSlot(endpoint, 1));
--- a/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import portrelay.model.AttemptRules;
+import portrelay.model.CellId;
 import portrelay.model.DiscoveryRules;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.LoadBalancerActions;
 import portrelay.model.LoadBalancerConfig;
@@ -113,7 +113,7 @@
                 health,
                 startedAt,
                 1,
-                new GroupId(upstream / 3),
+                new CellId(upstream / 3),
                 new ZoneId(upstream / 6),
                 new InstanceTypeId(upstream % 2));
     }
--- a/core/src/test/java/portrelay/policy/LoadBalancerTest.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerTest.java
@@ -6,9 +6,9 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.Outcome;
 import portrelay.model.RequestArrival;
 import portrelay.model.RequestClassId;
@@ -200,7 +200,7 @@
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(new Endpoint(
-                        row.id(), row.health(), 0, 1, new GroupId(1 - cell), row.zone(), row.instanceType())));
+                        row.id(), row.health(), 0, 1, new CellId(1 - cell), row.zone(), row.instanceType())));
         harness.advance(0.1);
         harness.attemptEnds(first, Outcome.CONNECTION_LOST);
         LoadBalancerHarness.Sent second = harness.lastSent();
--- a/core/src/test/java/portrelay/settings/SettingsTest.java
+++ b/core/src/test/java/portrelay/settings/SettingsTest.java
@@ -151,8 +151,8 @@
         assertEquals(4, topology.sidecarCount());
         assertEquals(Topology.Weights.LIVE, topology.weights());
         assertEquals(Topology.Reports.SILENT, topology.reports());
-        assertTrue(topology.peers());
-        assertFalse(topology.probes());
+        assertTrue(topology.peerMessagesAllowed());
+        assertFalse(topology.probesAllowed());
     }
 
     @Test
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
-import portrelay.model.GroupId;
 import portrelay.model.Hash;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.UpstreamId;
@@ -60,7 +60,7 @@
                 health,
                 MonotonicClock.fromUnixMillis(row.number(WireNames.STARTED_AT_MS, 0)),
                 row.number(WireNames.WEIGHT, 1),
-                new GroupId((long) row.number(WireNames.GROUP, 0)),
+                new CellId((long) row.number(WireNames.GROUP, 0)),
                 ZoneId.of(row.string(WireNames.ZONE, "")),
                 new InstanceTypeId((int) Hash.of(row.string(WireNames.INSTANCE_TYPE, ""))));
         return new Row(endpoint, address, row.tree());
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
@@ -79,7 +79,7 @@
         upstreamConnector =
                 new Connector(loop, buffers, descriptors.maxUpstreamConnections(), open -> updateClientLimit());
         shutdown = new ShutdownActor(loop, log, maxDeadlineSeconds(settings));
-        boolean hasPeers = config.peers() != null && settings.topology().peers();
+        boolean hasPeers = config.peers() != null && settings.topology().peerMessagesAllowed();
         loadBalancer = new LoadBalancerActor(
                 loop, log, shutdown.shutdown(), actions -> settings.createForSockets(actions, config.seed(), hasPeers));
         loadBalancer.setDeduplicationWindows(arrival -> deduplicationWindowSeconds(settings, arrival));
--- a/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
@@ -19,9 +19,9 @@
 import java.util.Set;
 import portrelay.admission.AdmissionConfig;
 import portrelay.admission.ConnectionCapacityConfig;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.RequestClass;
 import portrelay.model.UpstreamId;
@@ -169,7 +169,7 @@
                     Endpoint.Health.READY,
                     0,
                     1,
-                    new GroupId(0),
+                    new CellId(0),
                     new ZoneId(0),
                     new InstanceTypeId(0));
             endpoints.add(endpoint);
--- a/daemon/src/main/java/portrelay/simulation/ModelReader.java
+++ b/daemon/src/main/java/portrelay/simulation/ModelReader.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.LoadReport;
 import portrelay.model.Outcome;
@@ -142,7 +142,7 @@
 
     private Endpoint endpoint() throws IOException, MalformedInputException {
         double weight = in.number("scale");
-        GroupId cell = new GroupId(in.integerOr("group", 0));
+        CellId cell = new CellId(in.integerOr("group", 0));
         UpstreamId upstream = upstreamId();
         double startedAt = WireClock.seconds(in.integerOr("online-since-us", 0));
         Endpoint.Health health = health();
--- a/daemon/src/test/java/portrelay/net/MigrateNetTest.java
+++ b/daemon/src/test/java/portrelay/net/MigrateNetTest.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import portrelay.cli.Main;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.LoadBalancerActions;
 import portrelay.model.Outcome;
@@ -240,7 +240,7 @@
                     Endpoint.Health.READY,
                     0,
                     1 + i % 2,
-                    new GroupId(i / 3),
+                    new CellId(i / 3),
                     ZoneId.of("z" + i / 3),
                     new InstanceTypeId(0)));
         }
--- a/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
+++ b/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import portrelay.model.AttemptRules;
+import portrelay.model.CellId;
 import portrelay.model.DiscoveryRules;
 import portrelay.model.Endpoint;
 import portrelay.model.EndpointUpdate;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.LoadBalancerActions;
 import portrelay.model.LoadBalancerConfig;
@@ -159,7 +159,7 @@
                 Endpoint.Health.READY,
                 0,
                 1,
-                new GroupId(number / 6),
+                new CellId(number / 6),
                 new ZoneId(number % 12),
                 new InstanceTypeId(number % 3));
     }
--- a/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
@@ -1,8 +1,8 @@
 package portrelay.fleet;
 
 import java.util.Arrays;
+import portrelay.model.CellId;
 import portrelay.model.Endpoint;
-import portrelay.model.GroupId;
 import portrelay.model.InstanceTypeId;
 import portrelay.model.SlowStartRule;
 import portrelay.model.UpstreamId;
@@ -52,7 +52,7 @@
         Endpoint.Health health =
                 isGone ? Endpoint.Health.GONE : isDraining ? Endpoint.Health.DRAINING : Endpoint.Health.READY;
         return new Endpoint(
-                id, health, startedAt, 1, new GroupId(id.value() % CELLS), new ZoneId(zone), new InstanceTypeId(0));
+                id, health, startedAt, 1, new CellId(id.value() % CELLS), new ZoneId(zone), new InstanceTypeId(0));
     }
 
     void startWarmingUp(double now) {
