--- a/core/src/main/java/portrelay/discovery/WatchCalls.java
+++ b/core/src/main/java/portrelay/discovery/WatchCalls.java
@@ -4,65 +4,69 @@
 import java.util.Deque;
 
 /**
- * The outstanding calls to discovery, their waits and their timeouts. A call either fetches the complete endpoint list
- * at once or watches: discovery holds it until there is an update. After a call that failed or timed out new ones begin
- * often enough for an update to be read within 6 s of discovery being reachable; and as discovery serves the calls of
- * all sidecars in turn, no call gives up its place in that queue sooner than needed. The backoff after a failure is
- * {@code DiscoveryRules}'.
+ * Manages the outstanding calls to discovery, their waits and their timeouts. A call either fetches the complete
+ * endpoint list at once or watches it, in which case discovery holds the call until there is an update. After a call
+ * that failed or timed out, new ones begin often enough for an update to be read within 6 s of discovery becoming
+ * reachable. As discovery serves the calls of all sidecars in turn, no call is abandoned, which would lose its place in
+ * that queue, sooner than needed. The backoff after a failure is defined by {@code DiscoveryRules}.
  */
 public final class WatchCalls {
 
-    /** Carries the calls out; each begins once and ends by {@link #end} or by an event of {@link WatchCalls}. */
-    public interface Calls {
+    /**
+     * Performs the calls. Each call begins once; it ends by {@link #endCall}, by {@link WatchCalls#answered} or by
+     * {@link WatchCalls#failed}.
+     */
+    public interface Actions {
         /**
          * Begins a call.
          *
-         * @param wait seconds that discovery may hold the call while it has no update; 0 to answer at once
+         * @param wait seconds for which discovery may hold the call while it has no update; 0 to answer at once
          * @param timeout seconds after which {@link WatchCalls#timedOut} is to be called, unless the call has ended
          */
-        void begin(int call, double wait, double timeout);
+        void beginCall(int call, double wait, double timeout);
 
-        /** The call is abandoned. */
-        void end(int call, EndReason reason);
+        /** Abandons a call. */
+        void endCall(int call, EndReason reason);
     }
 
     /** Why a call is abandoned before it has an answer. */
     public enum EndReason {
-        /** A newer call takes the place of the oldest. */
+        /** The oldest call is replaced by a newer one. */
         REPLACED,
-        /** A watch had no answer within its wait. */
+        /** A watch had no answer within its timeout. */
         SILENT,
         /** The other call was answered. */
         OTHER_ANSWERED,
         /** The other call failed. */
         OTHER_FAILED,
-        /** Discovery is at another address. */
+        /** The address of discovery has changed. */
         ADDRESS_CHANGED
     }
 
-    /** How long discovery may hold a watch after a call that it answered. */
+    /** How long discovery may hold a watch if it answered the last call. */
     static final double WATCH_SECONDS = 20;
 
     /**
-     * How long it may hold the first watch after a failure. Guards against a watch that is accepted and never answered,
-     * by a process that dies just then: it must time out while another one can still be answered in time.
+     * How long discovery may hold a watch after a failure. Guards against a watch that is accepted and never answered,
+     * because the process that accepted it dies at that moment: the watch must time out early enough for another one to
+     * be answered in time.
      */
     static final double WATCH_AFTER_FAILURE_SECONDS = 3;
 
     /**
-     * A watch is late so long after its wait. It counts as broken 2 s after it; a new connection may take 1.5 s of
-     * them.
+     * How long after its wait a watch times out. A watch counts as broken 2 s after its wait; a new connection may take
+     * 1.5 s of these 2 s.
      */
     static final double WATCH_GRACE_SECONDS = 0.5;
 
-    /** For a fetch: a discovery that all sidecars call at once takes seconds to answer. */
+    /** The timeout of a fetch: discovery takes seconds to answer when all sidecars call it at the same time. */
     static final double FETCH_TIMEOUT_SECONDS = 2.5;
 
-    /** A late call keeps its place in discovery's queue while another one is begun beside it. */
+    /** The maximum number of calls: a late call keeps its place in discovery's queue while another one is begun. */
     private static final int MAX_OUTSTANDING = 2;
 
-    private final Calls calls;
-    /** The oldest first. */
+    private final Actions actions;
+    /** The numbers of the outstanding calls, the oldest first. */
     private final Deque<Integer> outstanding = new ArrayDeque<>();
 
     private int lastCall;
@@ -70,50 +74,55 @@
     /** Whether the latest call is a fetch. */
     private boolean isFetch;
 
-    /** Calls are numbered from 1. */
-    public WatchCalls(Calls calls) {
-        this.calls = calls;
+    /** Creates an instance without calls; calls are numbered from 1. */
+    public WatchCalls(Actions actions) {
+        this.actions = actions;
     }
 
+    /** Whether any call is outstanding. */
     public boolean isOutstanding() {
         return !outstanding.isEmpty();
     }
 
-    /** Whether that call's answer would still be taken. */
+    /** Whether this call is outstanding, so that its answer would be used. */
     public boolean isOutstanding(int call) {
         return outstanding.contains(call);
     }
 
-    /** Begins a call: a fetch of the complete list, or a watch for updates to the one that the sidecar has. */
-    public void call(boolean fetchesAll) {
+    /**
+     * Begins a call; abandons the oldest one if too many are outstanding.
+     *
+     * @param fetchesAll whether to fetch the complete list rather than watch for updates to the sidecar's current list
+     */
+    public void begin(boolean fetchesAll) {
         isFetch = fetchesAll;
         if (outstanding.size() == MAX_OUTSTANDING) {
-            calls.end(outstanding.removeFirst(), EndReason.REPLACED);
+            actions.endCall(outstanding.removeFirst(), EndReason.REPLACED);
         }
         int call = ++lastCall;
         outstanding.addLast(call);
         if (isFetch) {
-            calls.begin(call, 0, FETCH_TIMEOUT_SECONDS);
+            actions.beginCall(call, 0, FETCH_TIMEOUT_SECONDS);
         } else {
             double wait = wasLastAnswered ? WATCH_SECONDS : WATCH_AFTER_FAILURE_SECONDS;
-            calls.begin(call, wait, wait + WATCH_GRACE_SECONDS);
+            actions.beginCall(call, wait, wait + WATCH_GRACE_SECONDS);
         }
     }
 
-    /** The call had no answer within its timeout; only the latest call's begins another. */
+    /** Handles the timeout of a call; only the timeout of the latest call begins another one. */
     public void timedOut(int call) {
         if (outstanding.isEmpty() || outstanding.peekLast() != call) {
             return;
         }
         if (wasLastAnswered && !isFetch) {
-            // A watch that has fallen silent is broken: nothing will come on it.
+            // The watch is broken: discovery would have answered it by now.
             cancelAll(EndReason.SILENT);
         }
         wasLastAnswered = false;
-        call(isFetch);
+        begin(isFetch);
     }
 
-    /** The call had a valid answer; the other one is abandoned. */
+    /** Handles a valid answer to a call; the other call is abandoned. */
     public void answered(int call) {
         outstanding.remove(call);
         cancelAll(EndReason.OTHER_ANSWERED);
@@ -121,7 +130,8 @@
     }
 
     /**
-     * The call was refused, broke off or had an invalid answer; the other one is abandoned, as it would fare no better.
+     * Handles a call that was refused, broke off or had an invalid answer; the other call is abandoned, as it is
+     * expected to fail as well.
      */
     public void failed(int call) {
         outstanding.remove(call);
@@ -129,14 +139,14 @@
         wasLastAnswered = false;
     }
 
-    /** Discovery is at another address: all calls are abandoned. */
+    /** Handles a change of discovery's address: all calls are abandoned. */
     public void addressChanged() {
         cancelAll(EndReason.ADDRESS_CHANGED);
     }
 
     private void cancelAll(EndReason reason) {
         while (isOutstanding()) {
-            calls.end(outstanding.removeFirst(), reason);
+            actions.endCall(outstanding.removeFirst(), reason);
         }
     }
 }
--- a/core/src/main/java/portrelay/lease/Acceptor.java
+++ b/core/src/main/java/portrelay/lease/Acceptor.java
@@ -1,26 +1,26 @@
 package portrelay.lease;
 
 /**
- * One voter's state of one lease. It is lost with the process; so a new process does not answer for as long as a
- * proposal that the process before it accepted may last.
+ * The acceptor of one lease: the state of one voter. The state is lost when the process ends; therefore a new process
+ * does not answer for as long as a proposal that its predecessor accepted may last.
  *
- * @param promised the highest ballot that it promised to take part in; null before the first
- * @param accepted the ballot of the proposal that it accepted; null if there is none
- * @param holder of that proposal
+ * @param promised the highest ballot that the acceptor promised to take part in; null before the first
+ * @param accepted the ballot of the accepted proposal; null if there is none
+ * @param holder the holder in the accepted proposal; null if there is none
  * @param acceptedUntil when the accepted proposal expires
- * @param silentUntil when it begins to answer
+ * @param silentUntil when the acceptor begins to answer
  */
 public record Acceptor(Ballot promised, Ballot accepted, Holder holder, double acceptedUntil, double silentUntil) {
 
-    /** The acceptor after a message, and its reply; null for none. */
+    /** The acceptor after a message, and its reply, which is null for none. */
     record Answer(Acceptor next, LeaseMessage reply) {}
 
-    /** The acceptor of a process that has just started. */
+    /** Returns the acceptor of a process that has just started. */
     public static Acceptor started(double now, LeaseTerms terms) {
         return new Acceptor(null, null, null, Double.NEGATIVE_INFINITY, now + terms.acceptorTerm());
     }
 
-    /** Handles a prepare, propose or release message; others change nothing. */
+    /** Handles a prepare, propose or release message; other messages have no effect. */
     Answer receive(LeaseMessage message, double now, LeaseTerms terms) {
         if (now < silentUntil) {
             return new Answer(this, null);
--- a/core/src/main/java/portrelay/lease/Holder.java
+++ b/core/src/main/java/portrelay/lease/Holder.java
@@ -1,4 +1,4 @@
 package portrelay.lease;
 
-/** One incarnation of one peer's process: after a restart the same peer is another holder. */
+/** A holder of a lease: one incarnation of one peer's process. After a restart the same peer is another holder. */
 public record Holder(int peer, long incarnation) {}
--- a/core/src/main/java/portrelay/lease/LeaseMessage.java
+++ b/core/src/main/java/portrelay/lease/LeaseMessage.java
@@ -3,16 +3,16 @@
 /** A message between the replicas of one lease. */
 public sealed interface LeaseMessage {
 
-    /** The round that the message belongs to. */
+    /** Returns the ballot of the round that the message belongs to. */
     Ballot ballot();
 
-    /** A proposer asks for the promise to take part in no earlier round. */
+    /** A proposer requests the promise to take part in no earlier round. */
     record Prepare(Ballot ballot) implements LeaseMessage {}
 
-    /** An acceptor promises that, and names the holder that it has accepted; null for none. */
+    /** An acceptor gives that promise, and names the holder that it has accepted; null for none. */
     record Promise(Ballot ballot, Holder accepted) implements LeaseMessage {}
 
-    /** A proposer asks the acceptors to accept a holder. */
+    /** A proposer requests that the acceptors accept a holder. */
     record Propose(Ballot ballot, Holder holder) implements LeaseMessage {}
 
     /** An acceptor has accepted the proposal. */
--- a/core/src/main/java/portrelay/lease/Proposer.java
+++ b/core/src/main/java/portrelay/lease/Proposer.java
@@ -4,17 +4,17 @@
 import java.util.TreeSet;
 
 /**
- * One candidate's state of one lease.
+ * The proposer of one lease: the state of one candidate.
  *
- * @param phase of the current round
- * @param ballot of the latest round; null before the first
- * @param votes the peers that voted for that round in its phase
- * @param startedAt when that phase began: a lease counts from before it is proposed
- * @param heldUntil when the lease that it holds expires; in the past if it holds none
- * @param token of the lease that it holds or held last
+ * @param phase the phase of the current round
+ * @param ballot the ballot of the latest round; null before the first
+ * @param votes the peers that voted in the current phase of that round
+ * @param startedAt when the latest phase began; the time of a lease runs from before it is proposed
+ * @param heldUntil when the held lease expires; in the past if none is held
+ * @param token the fencing token of the lease that is held or was held last
  * @param nextTimerAt when the next round begins, or the current one times out
  * @param highestNumber the highest ballot number in any message
- * @param failures consecutive rounds without a lease
+ * @param failures the number of consecutive rounds that did not win the lease
  */
 public record Proposer(
         Phase phase,
@@ -27,20 +27,22 @@
         long highestNumber,
         int failures) {
 
-    /** What it waits for: RESTING for its timer, PREPARING for promises, PROPOSING for acceptances. */
+    /** The phase of a round. */
     public enum Phase {
-        RESTING,
+        /** No round is in progress; the proposer waits for its timer. */
+        IDLE,
+        /** The proposer waits for promises. */
         PREPARING,
+        /** The proposer waits for acceptances. */
         PROPOSING
     }
 
-    /** The mean wait grows to eight times the backoff at most. */
+    /** Bounds the mean wait to eight times the backoff. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
-    /** The proposer of a process that has just started; its first round begins at that time. */
+    /** Returns the proposer of a process that has just started; its first round begins at the given time. */
     public static Proposer started(double firstRoundAt) {
-        return new Proposer(
-                Phase.RESTING, null, Set.of(), firstRoundAt, Double.NEGATIVE_INFINITY, 0, firstRoundAt, 0, 0);
+        return new Proposer(Phase.IDLE, null, Set.of(), firstRoundAt, Double.NEGATIVE_INFINITY, 0, firstRoundAt, 0, 0);
     }
 
     /** Whether the lease is held. */
@@ -49,8 +51,8 @@
     }
 
     /**
-     * A new round begins. Its number is the wall clock's or, if that is more, above all numbers seen: so tokens ascend
-     * even if all voters restart, as long as no wall clock is set back by a lease's duration.
+     * Begins a new round. Its ballot number is the wall clock's time or, if that is larger, one above all numbers seen.
+     * So tokens increase even if all voters restart, as long as no wall clock is set back by a lease's duration.
      */
     Proposer prepare(Holder self, double now, long wallClockMs, LeaseTerms terms) {
         long number = Math.max(wallClockMs, highestNumber + 1);
@@ -59,7 +61,10 @@
                 Phase.PREPARING, next, Set.of(), now, heldUntil, token, now + terms.roundTimeout(), number, failures);
     }
 
-    /** A majority has promised and has accepted no other holder: the lease's time begins to run. */
+    /**
+     * Begins the proposing phase, after a majority has promised and has accepted no other holder. The time of the lease
+     * runs from now.
+     */
     Proposer propose(double now, LeaseTerms terms) {
         return new Proposer(
                 Phase.PROPOSING,
@@ -73,10 +78,10 @@
                 failures);
     }
 
-    /** A majority has accepted. A renewed lease keeps its token. */
+    /** Ends the round with the lease, after a majority has accepted. A renewed lease keeps its token. */
     Proposer won(double now, LeaseTerms terms) {
         return new Proposer(
-                Phase.RESTING,
+                Phase.IDLE,
                 ballot,
                 Set.of(),
                 startedAt,
@@ -87,45 +92,46 @@
                 0);
     }
 
-    /** The round has failed; jitter, a random number from 0 to 1, keeps contenders from colliding again. */
+    /** Ends a failed round; jitter, a random number from 0 to 1, prevents contenders from colliding again. */
     Proposer giveUp(double now, double jitter, LeaseTerms terms) {
         double wait = terms.backoff() * (1 << Math.min(failures, MAX_BACKOFF_DOUBLINGS)) * (0.5 + jitter);
         return new Proposer(
-                Phase.RESTING, ballot, Set.of(), startedAt, heldUntil, token, now + wait, highestNumber, failures + 1);
+                Phase.IDLE, ballot, Set.of(), startedAt, heldUntil, token, now + wait, highestNumber, failures + 1);
     }
 
     /**
-     * Gives up the lease or the round; pauses for a lease's duration and a backoff, so that another candidate may win.
+     * Releases the lease or ends the round, and pauses for a lease's duration and a backoff, so that another candidate
+     * may win.
      */
     Proposer released(double now, double jitter, LeaseTerms terms) {
-        Proposer resting = giveUp(now, jitter, terms);
+        Proposer idle = giveUp(now, jitter, terms);
         return new Proposer(
-                Phase.RESTING,
+                Phase.IDLE,
                 ballot,
                 Set.of(),
                 startedAt,
                 Double.NEGATIVE_INFINITY,
                 token,
-                now + terms.duration() + resting.nextTimerAt - now,
+                now + terms.duration() + idle.nextTimerAt - now,
                 highestNumber,
                 0);
     }
 
-    /** A peer voted for the current round. */
-    Proposer withVote(int from) {
+    /** Adds the vote of a peer for the current round. */
+    Proposer withVote(int voter) {
         Set<Integer> withVote = new TreeSet<>(votes);
-        withVote.add(from);
+        withVote.add(voter);
         return new Proposer(phase, ballot, withVote, startedAt, heldUntil, token, nextTimerAt, highestNumber, failures);
     }
 
-    /** A message named the ballot: later rounds are numbered above it. */
+    /** Records a ballot that a message named; later rounds get higher numbers. */
     Proposer observed(Ballot other) {
         long highest = Math.max(highestNumber, other.number());
         return new Proposer(phase, ballot, votes, startedAt, heldUntil, token, nextTimerAt, highest, failures);
     }
 
-    /** Whether votes of the phase and ballot still count. */
-    boolean awaitsVotes(Phase wanted, Ballot of) {
-        return phase == wanted && of.equals(ballot);
+    /** Whether votes for this phase and ballot are awaited. */
+    boolean awaitsVotes(Phase votePhase, Ballot voteBallot) {
+        return phase == votePhase && voteBallot.equals(ballot);
     }
 }
--- a/core/src/main/java/portrelay/lease/Replica.java
+++ b/core/src/main/java/portrelay/lease/Replica.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * One process in one lease: it votes and, if its peer is one of the voters, tries to hold the lease. Immutable; each
- * event returns the next state and the messages to send. No two processes hold the lease at the same time as long as no
- * clock drifts by more than the terms allow.
+ * The part of one process in one lease: if its peer is one of the voters, it votes and tries to hold the lease.
+ * Immutable; each event returns the next state and the messages to send. No two processes hold the lease at the same
+ * time as long as no clock drifts by more than the terms allow.
  *
- * <p>Before each act for the lease the process reads its clock anew and asks {@link #holds}; as it may be stopped
- * between the two, whatever the act changes has to check the {@link #token} as well.
+ * <p>Before each action that requires the lease the process has to read its clock anew and check {@link #holds}. As it
+ * may be stopped between the check and the action, the resource that the action changes has to check the {@link #token}
+ * as well.
  *
  * @param self this process
- * @param voters whose majority grants the lease
+ * @param voters the voters whose majority grants the lease
  */
 public record Replica(Holder self, VoterSet voters, LeaseTerms terms, Acceptor acceptor, Proposer proposer) {
 
@@ -22,7 +23,7 @@
     /** The replica after an event, and the messages to send. */
     public record Step(Replica next, List<Outgoing> out) {}
 
-    /** The replica of a process that has just started; jitter is a random number from 0 to 1. */
+    /** Returns the replica of a process that has just started; jitter is a random number from 0 to 1. */
     public static Replica started(Holder self, VoterSet voters, LeaseTerms terms, double now, double jitter) {
         double firstRound = now + terms.acceptorTerm() + terms.backoff() * jitter;
         return new Replica(self, voters, terms, Acceptor.started(now, terms), Proposer.started(firstRound));
@@ -33,34 +34,44 @@
         return proposer.holds(now);
     }
 
-    /** Seconds until the lease expires; 0 if it is not held. */
+    /** Returns the seconds until the lease expires; 0 if it is not held. */
     public double remaining(double now) {
         return Math.max(0, proposer.heldUntil() - now);
     }
 
-    /** The fencing token; valid only while the lease is held. */
+    /** Returns the fencing token; it is valid only while the lease is held. */
     public long token() {
         return proposer.token();
     }
 
-    /** When {@link #onTimer} is to be called at the latest; infinite for a process that is no voter. */
+    /** Returns when {@link #onTimer} is to be called; infinity for a process that is not a voter. */
     public double nextTimerAt() {
         return voters.contains(self.peer()) ? proposer.nextTimerAt() : Double.POSITIVE_INFINITY;
     }
 
-    /** The time of {@link #nextTimerAt} has come. Jitter is a random number from 0 to 1. */
+    /**
+     * Handles the timer: begins a round or abandons one that has timed out. Has no effect before {@link #nextTimerAt}.
+     *
+     * @param wallClockMs milliseconds since 1970
+     * @param jitter a random number from 0 to 1
+     */
     public Step onTimer(double now, long wallClockMs, double jitter) {
         if (now < nextTimerAt()) {
             return new Step(this, List.of());
         }
-        if (proposer.phase() != Proposer.Phase.RESTING) {
+        if (proposer.phase() != Proposer.Phase.IDLE) {
             return new Step(with(proposer.giveUp(now, jitter, terms)), List.of());
         }
         Proposer preparing = proposer.prepare(self, now, wallClockMs, terms);
         return with(preparing).toAll(new LeaseMessage.Prepare(preparing.ballot()), now, jitter);
     }
 
-    /** A message of a peer with the same voter set has come. Jitter is a random number from 0 to 1. */
+    /**
+     * Handles a message from a peer that has the same voter set.
+     *
+     * @param from the peer that sent the message; ignored if it is not a voter
+     * @param jitter a random number from 0 to 1
+     */
     public Step onMessage(int from, LeaseMessage message, double now, double jitter) {
         if (!voters.contains(self.peer()) || !voters.contains(from)) {
             return new Step(this, List.of());
@@ -80,7 +91,7 @@
         return new Step(next, out);
     }
 
-    /** Releases the lease, as before the process ends; without one, gives up the current round. */
+    /** Releases the lease, for example before the process ends; if it is not held, abandons the current round. */
     public Step release(double now, double jitter) {
         boolean wasHeld = holds(now);
         Replica next = with(proposer.released(now, jitter, terms));
@@ -90,17 +101,17 @@
     }
 
     /**
-     * With other voters, as after a reload. What was accepted and a held lease stay; a round in progress is given up,
-     * as its votes were for another majority.
+     * Returns this replica with other voters, for example after a configuration reload. An accepted proposal and a held
+     * lease stay; a round in progress is abandoned, as its votes were for another majority.
      *
      * @throws IllegalArgumentException if the two sets differ by more than one voter
      */
     public Replica withVoters(VoterSet other, double now, double jitter) {
-        voters.whyNotChangeTo(other).ifPresent(reason -> {
+        voters.reasonAgainstChangeTo(other).ifPresent(reason -> {
             throw new IllegalArgumentException(reason);
         });
-        boolean isResting = proposer.phase() == Proposer.Phase.RESTING;
-        Proposer next = isResting ? proposer : proposer.giveUp(now, jitter, terms);
+        boolean isIdle = proposer.phase() == Proposer.Phase.IDLE;
+        Proposer next = isIdle ? proposer : proposer.giveUp(now, jitter, terms);
         return new Replica(self, other, terms, acceptor, next);
     }
 
@@ -128,13 +139,13 @@
     }
 
     private Step onReject(LeaseMessage.Reject reject, double now, double jitter) {
-        Proposer informed = proposer.observed(reject.promised());
-        boolean isOurRound =
-                proposer.phase() != Proposer.Phase.RESTING && reject.ballot().equals(proposer.ballot());
-        return new Step(with(isOurRound ? informed.giveUp(now, jitter, terms) : informed), List.of());
+        Proposer observed = proposer.observed(reject.promised());
+        boolean isOwnRound =
+                proposer.phase() != Proposer.Phase.IDLE && reject.ballot().equals(proposer.ballot());
+        return new Step(with(isOwnRound ? observed.giveUp(now, jitter, terms) : observed), List.of());
     }
 
-    /** Sends to every voter; this process's own vote is asked for and counted at once. */
+    /** Sends a message to every other voter; this process's own acceptor handles it, and its vote counts, at once. */
     private Step toAll(LeaseMessage message, double now, double jitter) {
         List<Outgoing> out = new ArrayList<>();
         for (int voter : voters.voters()) {
--- a/core/src/main/java/portrelay/model/AdaptiveLimit.java
+++ b/core/src/main/java/portrelay/model/AdaptiveLimit.java
@@ -1,24 +1,26 @@
 package portrelay.model;
 
 /**
- * How many attempts one process may have in flight over all upstreams: additive increase while few outcomes are late
- * and the limit was reached, multiplicative decrease while many are late. Each process adapts its own, so that the
- * fleet stays within what all upstreams can do together.
+ * An adaptive concurrency limit: how many attempts one process may have in flight over all upstreams. The limit is
+ * increased additively while it is reached and few outcomes are late, and decreased multiplicatively while many
+ * outcomes are late (AIMD). Each process adapts its own limit, so that the fleet together stays within the capacity of
+ * all upstreams.
  */
 public final class AdaptiveLimit {
 
-    /** Attempts in flight that a sidecar starts with at most, and has until the first endpoint list. */
+    /** The largest initial limit of a sidecar, and its limit until the first endpoint list arrives. */
     private static final double MAX_INITIAL_LIMIT = 3;
 
-    /** Attempts an upstream that all sidecars together start with. */
+    /** The initial limits of all sidecars together, in attempts per upstream. */
     private static final double INITIAL_LIMIT_PER_UPSTREAM = 2.5;
     /**
-     * Outcomes that are judged together. A round is as long as the limit, but no longer than this and at least half.
+     * The maximum number of outcomes in a round, after which the limit is adjusted. A round has as many outcomes as the
+     * limit allows attempts, but at most this number and at least half of it.
      */
     private static final int OUTCOMES_PER_ROUND = 16;
-    /** Above this share of late outcomes the limit is lowered. */
+    /** The limit is decreased when the share of late outcomes is above this value. */
     private static final double DECREASE_LATE_SHARE = 0.25;
-    /** Below this share of late outcomes the limit is raised. */
+    /** The limit is increased when the share of late outcomes is below this value. */
     private static final double INCREASE_LATE_SHARE = 0.15;
 
     private static final double DECREASE_FACTOR = 0.8;
@@ -32,20 +34,22 @@
     private boolean wasReachedInRound;
     private int inFlight;
 
-    /** So many attempts have been sent. */
+    /** Records that this number of attempts has been sent. */
     public void attemptsStarted(int attempts) {
         inFlight += attempts;
     }
 
-    /** Whether so many recent outcomes were late that the limit is lowered. */
+    /** Whether the share of late outcomes among the recent ones is high enough to decrease the limit. */
     public boolean isOverloaded() {
         return lateOutcomes.mean(0) > DECREASE_LATE_SHARE;
     }
 
     /**
-     * Sets the initial limit, once: all sidecars may start at the same time, so each begins with its share.
+     * Sets the initial limit; later calls have no effect. Each sidecar starts with its share of the fleet's limit, as
+     * all sidecars may start at the same time.
      *
-     * @param upstreamsPerSidecar ready upstreams over sidecars; 0 leaves the limit as it is
+     * @param upstreamsPerSidecar the number of ready upstreams divided by the number of sidecars; 0 leaves the limit
+     *     unchanged
      */
     public void initialize(double upstreamsPerSidecar) {
         if (upstreamsPerSidecar == 0 || increment > 0) {
@@ -56,25 +60,31 @@
     }
 
     /**
-     * Whether one more attempt may be sent; so many of those in flight are at unresponsive upstreams and not counted.
+     * Whether one more attempt may be sent.
+     *
+     * @param unresponsive the number of attempts in flight at unresponsive upstreams, which are not counted
      */
     public boolean hasCapacity(int unresponsive) {
         return inFlight - unresponsive < limit;
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt and adjusts the limit at the end of a round.
      *
-     * @param countsForFleet whether its lateness, if any, is not the fault of its upstream alone
+     * @param sentAt when the attempt was sent
+     * @param isLate whether its outcome was late
+     * @param countsForFleet whether a late outcome shows overload of the fleet rather than of this upstream alone
      */
     public void attemptEnded(double now, double sentAt, boolean isLate, boolean countsForFleet) {
         boolean wasReached = inFlight-- + 1 > limit;
         wasReachedInRound |= wasReached;
-        // At first nothing is known of the fleet: each prompt outcome raises the limit until a round is late.
+        // Initially the fleet's capacity is unknown: each prompt outcome at the limit increases it, until the first
+        // decrease.
         if (isStarting && wasReached && !isLate) {
             limit += increment;
         }
-        // What was sent before the last decrease tells nothing of the lower limit, nor one slow upstream of the fleet.
+        // Attempts sent before the last decrease show nothing about the decreased limit, and one slow upstream shows
+        // nothing about the fleet.
         if (sentAt < decreasedAt || isLate && !countsForFleet && limit > 1) {
             return;
         }
--- a/core/src/main/java/portrelay/model/AttemptRules.java
+++ b/core/src/main/java/portrelay/model/AttemptRules.java
@@ -1,14 +1,15 @@
 package portrelay.model;
 
 /**
- * What the settings allow for the attempts of a request.
+ * The settings that restrict the attempts of a request.
  *
- * @param maxAttempts at least 1, the first included
+ * @param maxAttempts the maximum number of attempts including the first; at least 1
  * @param cancelAllowed whether attempts may be cancelled
- * @param concurrentAttemptsAllowed whether a request may have several attempts in flight
+ * @param concurrentAttemptsAllowed whether a request may have several attempts in flight at the same time
  * @param probesAllowed whether upstreams may be probed for their load; decisions read {@link Topology#probesAllowed}
  *     instead
- * @param maxRetryAfter seconds that a rejected client may be told to wait at most; 0 where clients take no advice
+ * @param maxRetryAfter the largest Retry-After that a rejected client may be given, in seconds; 0 if clients do not
+ *     honour it
  */
 public record AttemptRules(
         int maxAttempts,
--- a/core/src/main/java/portrelay/model/EndpointUpdate.java
+++ b/core/src/main/java/portrelay/model/EndpointUpdate.java
@@ -1,12 +1,12 @@
 package portrelay.model;
 
-/** What the rows of an answer from discovery are. */
+/** What the rows of an answer from discovery contain. */
 public enum EndpointUpdate {
-    /** Changed endpoints only. */
+    /** Only the changed endpoints. */
     INCREMENTAL,
-    /** All endpoints: those not listed are gone. */
+    /** All endpoints; those not listed are gone. */
     COMPLETE,
-    /** All endpoints as known before a restart; may be out of date. */
+    /** All endpoints as they were known before a restart; may be out of date. */
     CACHED,
     /** No rows: the poll failed. */
     FAILED
--- a/core/src/main/java/portrelay/model/EventLoopLag.java
+++ b/core/src/main/java/portrelay/model/EventLoopLag.java
@@ -4,27 +4,28 @@
 import java.util.Deque;
 
 /**
- * How late an event loop runs, from beats that it makes at equal intervals. A late beat shows a gap, in which the
- * process was stopped or busy with other work: what came from outside during the gap is seen after it.
+ * Measures how late an event loop runs, from heartbeats that it records at equal intervals. A late beat shows a gap in
+ * which the process was stopped or busy with other work: signals and data that arrived during the gap are seen only
+ * after it.
  */
 public final class EventLoopLag {
 
     /** Seconds from one beat to the next. */
     public static final double BEAT_INTERVAL = 0.05;
 
-    /** Lateness that is no gap. */
+    /** Beats that are late by no more than this do not count as a gap. */
     private static final double TOLERANCE_SECONDS = 0.02;
 
-    /** How long after the end of a gap a signal may be handled that came during it. */
+    /** How long after the end of a gap a signal that was sent during it may still be handled. */
     private static final double SIGNAL_DELIVERY_SECONDS = 0.25;
 
-    /** By how much a signal is dated back at most. */
+    /** The most by which the time of a signal is dated back. */
     private static final double MAX_SIGNAL_AGE_SECONDS = 0.3;
 
-    /** Shorter gaps do not date arrivals back. */
+    /** Arrivals are not dated back for shorter gaps. */
     private static final double MIN_ARRIVAL_GAP_SECONDS = 0.1;
 
-    /** By how much an arrival is dated back at most. */
+    /** The most by which the time of an arrival is dated back. */
     private static final double MAX_ARRIVAL_AGE_SECONDS = 0.4;
 
     private record Gap(double from, double until) {}
@@ -33,7 +34,7 @@
     private double lastBeat = Double.NaN;
     private double maxLag;
 
-    /** Records a beat. */
+    /** Records a beat, and a gap if it is late. */
     public void beat(double now) {
         if (!Double.isNaN(lastBeat)) {
             double lag = now - lastBeat - BEAT_INTERVAL;
@@ -48,7 +49,7 @@
         }
     }
 
-    /** The earliest time at which a signal may have been sent that is handled at the given time. */
+    /** Returns the earliest time at which a signal that is handled at the given time may have been sent. */
     public double earliestSignal(double handledAt) {
         double earliest = handledAt;
         for (Gap each : gaps) {
@@ -60,8 +61,9 @@
     }
 
     /**
-     * The earliest time at which something may have arrived that is seen now. What arrives during a gap is seen by the
-     * first poll after it; what arrives during a long turn of the loop, by the first poll after that turn.
+     * Returns the earliest time at which data or a connection that is seen now may have arrived. An arrival during a
+     * gap is seen by the first poll after the gap; an arrival during a long turn of the loop, by the first poll after
+     * that turn.
      */
     public double earliestArrival(double now) {
         if (Double.isNaN(lastBeat)) {
@@ -75,12 +77,12 @@
         return Math.max(earliest, now - MAX_ARRIVAL_AGE_SECONDS);
     }
 
-    /** How late the next beat is by now, in seconds; 0 where it is not due yet. */
+    /** Returns by how many seconds the next beat is overdue; 0 if it is not due yet. */
     public double overdue(double now) {
         return Double.isNaN(lastBeat) ? 0 : Math.max(0, now - lastBeat - BEAT_INTERVAL);
     }
 
-    /** The largest lateness of a beat in seconds since this was last called. */
+    /** Returns the largest lateness of a beat in seconds since the last call of this method. */
     public double takeMaxLag() {
         double lag = maxLag;
         maxLag = 0;
--- a/core/src/main/java/portrelay/model/Hash.java
+++ b/core/src/main/java/portrelay/model/Hash.java
@@ -1,6 +1,6 @@
 package portrelay.model;
 
-/** The 64-bit FNV-1a hash of a name's UTF-16 units: the same at all sidecars and after a restart. */
+/** The 64-bit FNV-1a hash of a name's UTF-16 code units; the same at all sidecars and after a restart. */
 public final class Hash {
 
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -8,6 +8,7 @@
 
     private Hash() {}
 
+    /** Returns the hash of the name. */
     public static long of(String name) {
         long hash = OFFSET_BASIS;
         for (int i = 0; i < name.length(); i++) {
--- a/core/src/main/java/portrelay/model/IdleConnectionAge.java
+++ b/core/src/main/java/portrelay/model/IdleConnectionAge.java
@@ -1,43 +1,43 @@
 package portrelay.model;
 
 /**
- * After how long idle connections to upstreams are dropped by something between, estimated from requests that were lost
- * on idle connections, here or at peers.
+ * Estimates after how long a middlebox between the sidecar and its upstreams drops idle connections, from requests that
+ * were lost on idle connections here or at peers.
  */
 public final class IdleConnectionAge {
 
     private static final int SAMPLES = 8;
 
-    /** So long after the last lost request idle connections count as safe again. */
+    /** Idle connections count as safe again when no request has been lost for this long. */
     private static final double MEMORY_SECONDS = 20;
-    /** Share of the second smallest known age above which connections are replaced. */
+    /** Connections are replaced once their idle time is above this share of the second smallest known age. */
     private static final double REPLACE_AGE_SHARE = 0.95;
 
-    /** After so long a lost connection is reported again though its age is nothing new. */
+    /** A lost connection whose age adds no information is reported only after this interval. */
     private static final double BROADCAST_INTERVAL_SECONDS = 1;
 
-    /** How long the connections had been idle on which requests were lost. */
+    /** The idle times, in seconds, of the connections on which requests were lost. */
     private final Samples lostAges = new Samples(SAMPLES);
 
     private double droppingUntil = Double.NEGATIVE_INFINITY;
     private double broadcastAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether idle connections have been dropped recently. */
+    /** Whether requests have been lost on idle connections recently. */
     public boolean hasRecentDrops(double now) {
         return now < droppingUntil;
     }
 
-    /** Whether a connection that has been idle for so long is better replaced than used. */
+    /** Whether a connection with this idle time should be replaced rather than used. */
     public boolean shouldReplace(double idleSeconds, double now) {
         return hasRecentDrops(now) && idleSeconds > lostAges.secondSmallest() * REPLACE_AGE_SHARE;
     }
 
-    /** Whether fewer than two ages are known: one alone may be an accident and sets no limit. */
+    /** Whether fewer than two ages are known; a single one may be a coincidence and sets no limit. */
     public boolean hasFewSamples(double now) {
         return !hasRecentDrops(now) || lostAges.size() < 2;
     }
 
-    /** Whether a connection lost here is to be reported to peers; if so, the message counts as sent. */
+    /** Whether a connection lost here is to be reported to peers; if so, the report counts as sent. */
     public boolean shouldBroadcast(double idleSeconds, double now) {
         boolean isNews = hasFewSamples(now)
                 || idleSeconds < lostAges.secondSmallest()
@@ -46,7 +46,7 @@
         return isNews;
     }
 
-    /** A request was lost on a connection that had been idle for so long, here or at a peer. */
+    /** Records that a request was lost, here or at a peer, on a connection with this idle time. */
     public void recordLostConnection(double idleSeconds, double now) {
         if (!hasRecentDrops(now)) {
             lostAges.clear();
--- a/core/src/main/java/portrelay/model/InstanceTypeId.java
+++ b/core/src/main/java/portrelay/model/InstanceTypeId.java
@@ -1,4 +1,4 @@
 package portrelay.model;
 
-/** A type of machine: upstreams of one type have the same capacity. */
+/** Identifies an instance type; upstreams of one type have the same capacity. */
 public record InstanceTypeId(int value) {}
--- a/core/src/main/java/portrelay/model/LoadBalancerActions.java
+++ b/core/src/main/java/portrelay/model/LoadBalancerActions.java
@@ -1,49 +1,54 @@
 package portrelay.model;
 
 /**
- * What the load balancer makes its environment do. Implemented once for each instance; called on the thread that
- * delivers events. Each call takes effect at the time of the event that is being handled.
+ * The actions that the load balancer requests of its environment. There is one implementing object for each load
+ * balancer; it is called on the thread that delivers the events. Each call takes effect at the time of the event that
+ * is being handled.
  */
 public interface LoadBalancerActions {
 
-    /** Sends an attempt; those of one request are numbered 0, 1, 2 ... in the order of these calls. */
+    /** Sends an attempt; the attempts of a request are numbered 0, 1, 2 ... in the order of these calls. */
     void sendAttempt(RequestId request, UpstreamId upstream);
 
-    /** Waits for an attempt no more; the upstream may go on executing it. */
+    /** Cancels an attempt: its answer is no longer awaited, but the upstream may go on executing it. */
     void cancelAttempt(RequestId request, int attempt);
 
     /**
-     * Final answer that tells the client that repeating the request has no second effect.
+     * Sends the client a final answer which says that it may repeat the request without a second effect.
      *
-     * @param retryAfter seconds after which to come back; 0 gives no advice
+     * @param retryAfter seconds after which the client should retry; 0 for no Retry-After
      */
     void reject(RequestId request, double retryAfter);
 
-    /** Final answer that leaves open whether the request was executed. */
+    /** Sends the client a final answer that leaves open whether the request was executed. */
     void fail(RequestId request);
 
-    /** Requests one call of {@code wakeUp} at the time or later; it cannot be cancelled. */
+    /** Requests one call of {@code wakeUp} at or after the given time; the request cannot be cancelled. */
     void wakeUpAt(double time);
 
     /** Polls discovery; answered by {@code endpointsUpdated}. */
     void pollDiscovery();
 
-    /** Probes an upstream's load; answered by {@code loadReported}. Only where the settings allow probes. */
+    /** Probes an upstream's load; answered by {@code loadReported}. Called only if the settings allow probes. */
     void probeLoad(UpstreamId upstream);
 
-    /** Sends 256 bytes at most to one other sidecar; may be lost. Only where the settings allow messages. */
+    /**
+     * Sends a message of at most 256 bytes to one peer; it may be lost. Called only if the settings allow peer
+     * messages.
+     */
     void sendToPeer(int sidecar, String text);
 
-    /** The same to all other sidecars. */
+    /** Sends a message to all peers; like {@link #sendToPeer} otherwise. */
     void broadcastToPeers(String text);
 
-    /** Whether messages to peers leave at all; once they do, they do so from then on. */
+    /** Whether messages to peers can be sent; once this is true, it stays true. */
     default boolean canSendToPeers() {
         return true;
     }
 
-    /** Closes the idle connections to an upstream: the next attempt there opens a new one. */
+    /** Closes the idle connections to an upstream, so that the next attempt there opens a new one. */
     void closeIdleConnections(UpstreamId upstream);
 
+    /** Writes a line to the log. */
     void log(String text);
 }
--- a/core/src/main/java/portrelay/model/LoadBalancerConfig.java
+++ b/core/src/main/java/portrelay/model/LoadBalancerConfig.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The settings that the load balancer decides by; request classes and tenants stand at the index of their id. */
+/** The settings that the load balancer's decisions depend on; request classes and tenants are indexed by their ids. */
 public record LoadBalancerConfig(
         List<RequestClass> requestClasses,
         List<Tenant> tenants,
@@ -11,7 +11,7 @@
         DiscoveryRules discovery,
         Topology topology) {
 
-    /** The longest latency objective of any request class in seconds; 0 where there is none. */
+    /** Returns the longest latency objective of all request classes in seconds; 0 if there are no classes. */
     public double maxLatencyObjective() {
         return requestClasses.stream()
                 .mapToDouble(RequestClass::latencyObjective)
@@ -20,7 +20,8 @@
     }
 
     /**
-     * The longest deadline of any request class in seconds: no attempt is in flight for longer. 0 where there is none.
+     * Returns the longest deadline of all request classes in seconds, which is the longest time that an attempt is in
+     * flight; 0 if there are no classes.
      */
     public double maxDeadline() {
         return requestClasses.stream().mapToDouble(RequestClass::deadline).max().orElse(0);
--- a/core/src/main/java/portrelay/model/LoadReport.java
+++ b/core/src/main/java/portrelay/model/LoadReport.java
@@ -1,14 +1,14 @@
 package portrelay.model;
 
 /**
- * What an upstream reports of its own load, late and inexact; NaN for each figure that it does not report.
+ * The load that an upstream reports of itself, with a delay and inexactly. Figures that it does not report are NaN.
  *
- * @param inFlight requests being executed
- * @param queued requests waiting
- * @param utilization busy share, 0 to 1
- * @param meanLatency seconds
- * @param servedRate requests a second
- * @param errorRate errors a second
+ * @param inFlight the number of requests being executed
+ * @param queued the number of requests waiting
+ * @param utilization the busy share, 0 to 1
+ * @param meanLatency in seconds
+ * @param servedRate in requests per second
+ * @param errorRate in errors per second
  */
 public record LoadReport(
         double inFlight, double queued, double utilization, double meanLatency, double servedRate, double errorRate) {}
--- a/core/src/main/java/portrelay/model/LoadWeight.java
+++ b/core/src/main/java/portrelay/model/LoadWeight.java
@@ -1,24 +1,25 @@
 package portrelay.model;
 
 /**
- * What the listed weights of one upstream show. A live weight is capacity / (1 + in flight per core): its largest value
- * is the capacity, its smallest step shows the cores, and recent values show what is in flight.
+ * Derives capacity, cores and load of one upstream from its listed weights. A live weight is capacity / (1 + attempts
+ * in flight per core): its largest value is the capacity, its smallest step shows the number of cores, and recent
+ * values show how many attempts are in flight.
  */
 public final class LoadWeight {
 
-    /** Smaller steps are rounding. */
+    /** Smaller steps are rounding errors. */
     private static final double MIN_STEP = 0.02;
 
     private final Samples inFlightPerCore;
     private double capacity;
     private double step = 1;
 
-    /** The attempts in flight are averaged over so many weights. */
+    /** Creates an instance that averages the attempts in flight over this number of weights. */
     public LoadWeight(int samples) {
         inFlightPerCore = new Samples(samples);
     }
 
-    /** Takes over a listed weight; one that is not live is the capacity. */
+    /** Applies a listed weight; a weight that is not live is the capacity. */
     public void update(double weight, boolean isLive) {
         capacity = isLive ? Math.max(capacity, weight) : weight;
         double perCore = isLive && weight > 0 ? capacity / weight - 1 : 0;
@@ -26,17 +27,17 @@
         step = perCore > MIN_STEP ? Math.min(step, perCore) : step;
     }
 
-    /** Relative to other upstreams. */
+    /** Returns the capacity, which is relative to that of other upstreams. */
     public double capacity() {
         return capacity;
     }
 
-    /** At least 1; 1 until a step has shown more. */
+    /** Returns the number of cores: at least 1, and 1 until a smaller step has shown more. */
     public double cores() {
         return Math.rint(1 / step);
     }
 
-    /** Mean attempts in flight over the recent weights; 0 where weights are not live. */
+    /** Returns the mean number of attempts in flight over the recent weights; 0 if weights are not live. */
     public double inFlight() {
         return cores() * inFlightPerCore.mean(0);
     }
--- a/core/src/main/java/portrelay/model/Outcome.java
+++ b/core/src/main/java/portrelay/model/Outcome.java
@@ -16,7 +16,7 @@
     /** The sidecar did not send it. */
     NOT_SENT(true);
 
-    /** Whether it proves that the upstream has not executed the request. */
+    /** Whether this outcome proves that the upstream has not executed the request. */
     public final boolean provablyNotExecuted;
 
     Outcome(boolean provablyNotExecuted) {
--- a/core/src/main/java/portrelay/model/RequestArrival.java
+++ b/core/src/main/java/portrelay/model/RequestArrival.java
@@ -1,14 +1,14 @@
 package portrelay.model;
 
 /**
- * A request as it arrives.
+ * A request at its arrival.
  *
- * @param tenant null where it names none
- * @param key idempotency key; null where it has none
- * @param deadline when it is of no use any more, as a point in time
- * @param estimatedWork the client's estimate, NaN where it gives none; no decision reads it
- * @param retriedByClient whether the client has sent it before
- * @param singleAttempt whether it can be sent only once, as its body is streamed and not kept
+ * @param tenant null if the request names none
+ * @param key the idempotency key; null if the request has none
+ * @param deadline the point in time after which an answer has no value
+ * @param estimatedWork the client's estimate of the work, NaN if it gives none; not used in any decision
+ * @param retriedByClient whether the client has sent the request before
+ * @param singleAttempt whether the request can be sent only once, as its body is streamed and not kept
  */
 public record RequestArrival(
         RequestId id,
@@ -20,7 +20,7 @@
         boolean retriedByClient,
         boolean singleAttempt) {
 
-    /** A request that can be sent more than once. */
+    /** Creates a request that can be sent more than once. */
     public RequestArrival(
             RequestId id,
             RequestClassId requestClass,
@@ -32,7 +32,7 @@
         this(id, requestClass, tenant, key, deadline, estimatedWork, retriedByClient, false);
     }
 
-    /** The same request under another id. */
+    /** Returns the same request with another id. */
     public RequestArrival withId(RequestId other) {
         return new RequestArrival(
                 other, requestClass, tenant, key, deadline, estimatedWork, retriedByClient, singleAttempt);
--- a/core/src/main/java/portrelay/model/RequestClass.java
+++ b/core/src/main/java/portrelay/model/RequestClass.java
@@ -3,12 +3,12 @@
 /**
  * A class of requests as the settings describe it.
  *
- * @param deduplicationScope where a repeat of a keyed request is recognised
+ * @param deduplicationScope the upstreams among which a repeat of a keyed request is recognised
  * @param latencyObjective seconds from arrival within which an answer has its full value
- * @param deadline seconds from arrival after which an answer has none
- * @param deduplicationWindow seconds for which an upstream recognises a repeat
- * @param priorityWeight value of an answer in time
- * @param lateValueShare share of that value that a late answer has, 0 to 1
+ * @param deadline seconds from arrival after which an answer has no value
+ * @param deduplicationWindow seconds for which an upstream recognises a repeat of a keyed request
+ * @param priorityWeight the value of an answer within the latency objective
+ * @param lateValueShare the share of that value that a later answer has, 0 to 1
  * @param streamed whether answers are streamed
  */
 public record RequestClass(
@@ -39,7 +39,7 @@
         CELL
     }
 
-    /** Whether the second upstream recognises a repeat of what the first one may have executed. */
+    /** Whether the second upstream recognises a repeat of a keyed request that the first one may have executed. */
     public boolean sharesDeduplication(Endpoint first, Endpoint second) {
         return switch (deduplicationScope) {
             case ALL -> true;
--- a/core/src/main/java/portrelay/model/RequestId.java
+++ b/core/src/main/java/portrelay/model/RequestId.java
@@ -1,4 +1,4 @@
 package portrelay.model;
 
-/** Identifies an open request at one sidecar. */
+/** Identifies an open request within one sidecar. */
 public record RequestId(String value) {}
--- a/core/src/main/java/portrelay/model/RequestInput.java
+++ b/core/src/main/java/portrelay/model/RequestInput.java
@@ -1,26 +1,28 @@
 package portrelay.model;
 
-/** What can happen to an open request; the table in {@code RequestLifecycle} says what follows in each state. */
+/**
+ * The inputs of a request's state machine; the table in {@code RequestLifecycle} has the transitions for each state.
+ */
 public enum RequestInput {
     ARRIVED,
-    /** The probes for its first attempt, or for a retry, are answered or timed out, or none is needed. */
+    /** The probes for the first attempt, or for a retry, were answered or timed out, or none is needed. */
     PROBES_DONE,
-    /** The probes found nothing idle and another round may follow. */
+    /** The probes found no idle upstream and another round of probes may follow. */
     PROBE_AGAIN,
-    /** No upstream may get it now. */
+    /** No upstream may be sent the request now. */
     NO_UPSTREAM,
-    /** It has waited for capacity, and its turn has come. */
+    /** The request has waited for capacity and is tried again. */
     DEQUEUED,
-    /** It has waited for capacity for as long as it may. */
+    /** The request has waited for capacity for its maximum time. */
     WAIT_EXPIRED,
-    /** A retry is in flight. */
+    /** A retry has been sent. */
     ATTEMPT_SENT,
     HEDGE_DUE,
-    /** The probes for its hedged attempt are answered or timed out, or none is needed. */
+    /** The probes for the hedged attempt were answered or timed out, or none is needed. */
     HEDGE_PROBES_DONE,
     /** An attempt has ended and the client has no answer yet. */
     ATTEMPT_ENDED,
     SERVED,
-    /** The client left, or got an answer other than a served one. */
+    /** The client left, or was sent an answer other than a served one. */
     CLIENT_LEFT
 }
--- a/core/src/main/java/portrelay/model/RequestState.java
+++ b/core/src/main/java/portrelay/model/RequestState.java
@@ -1,18 +1,18 @@
 package portrelay.model;
 
-/** Where an open request stands. */
+/** The states of a request. */
 public enum RequestState {
     NEW,
-    /** Upstreams are being probed before its first attempt. */
+    /** Upstreams are being probed before the first attempt. */
     PROBING,
-    /** Waits for capacity with no attempt in flight. */
+    /** The request waits for capacity, with no attempt in flight. */
     QUEUED,
     /** One attempt is in flight, or is about to be sent. */
     SINGLE_ATTEMPT,
     /** A hedged attempt is in flight beside the first one. */
     HEDGED,
-    /** All attempts so far have ended and none was answered. */
+    /** All attempts so far have ended without an answer to the client. */
     NO_ATTEMPT,
-    /** The client has its answer or waits for none. */
+    /** The client has its answer or no longer waits for one. */
     CLOSED
 }
--- a/core/src/main/java/portrelay/model/Samples.java
+++ b/core/src/main/java/portrelay/model/Samples.java
@@ -2,42 +2,46 @@
 
 import java.util.Arrays;
 
-/** The most recent samples of one measured value, with their times. A ring of fixed capacity. */
+/** A ring buffer of fixed capacity with the most recent samples of one measured value and their times. */
 public final class Samples {
     private final double[] values;
     private final double[] times;
     private int count;
 
+    /** Creates an empty ring. */
     public Samples(int capacity) {
         values = new double[capacity];
         times = new double[capacity];
     }
 
-    /** Adds a sample whose time does not matter. */
+    /** Adds a sample with time 0, for users that do not select samples by time. */
     public void add(double value) {
         add(0, value);
     }
 
+    /** Adds a sample; replaces the oldest one if the ring is full. */
     public void add(double time, double value) {
         values[count % values.length] = value;
         times[count % values.length] = time;
         count++;
     }
 
+    /** Removes all samples. */
     public void clear() {
         count = 0;
     }
 
-    /** How many samples there are, at most the capacity. */
+    /** Returns the number of samples, at most the capacity. */
     public int size() {
         return Math.min(count, values.length);
     }
 
-    /** The oldest sample; there has to be one. */
+    /** Returns the oldest sample; there must be at least one. */
     public double oldest() {
         return values[(count - size()) % values.length];
     }
 
+    /** Returns the sum of all samples. */
     public double sum() {
         double sum = 0;
         for (int i = 0; i < size(); i++) {
@@ -46,24 +50,24 @@
         return sum;
     }
 
-    /** Mean of all samples. */
+    /** Returns the mean of all samples, or the given value if there are none. */
     public double mean(double ifEmpty) {
         return size() == 0 ? ifEmpty : sum() / size();
     }
 
-    /** The second smallest, so that one outlier does not count; infinite where there are fewer than two. */
+    /** Returns the second smallest sample, which ignores one outlier; infinity if there are fewer than two samples. */
     public double secondSmallest() {
         return size() < 2
                 ? Double.POSITIVE_INFINITY
                 : Arrays.stream(values, 0, size()).sorted().toArray()[1];
     }
 
-    /** Whether the ring is full and all its samples are above the value. */
+    /** Whether the ring is full and all samples are above the value. */
     public boolean allAbove(double value) {
         return count >= values.length && Arrays.stream(values).allMatch(each -> each > value);
     }
 
-    /** How many of the samples since a time are that large or larger. */
+    /** Returns the number of samples since the given time that are at least the given value. */
     public int countAtLeast(double value, double since) {
         int found = 0;
         for (int i = 0; i < size(); i++) {
@@ -72,7 +76,12 @@
         return found;
     }
 
-    /** Mean of the samples since a time, together with so many prior samples of the given value. */
+    /**
+     * Returns the mean of the samples since the given time together with prior samples.
+     *
+     * @param priorSamples the number of prior samples
+     * @param priorValue the value of each prior sample, and the result if there are no samples at all
+     */
     public double mean(double since, double priorSamples, double priorValue) {
         double sum = priorSamples * priorValue;
         double weight = priorSamples;
--- a/core/src/main/java/portrelay/model/SequentialTest.java
+++ b/core/src/main/java/portrelay/model/SequentialTest.java
@@ -1,18 +1,25 @@
 package portrelay.model;
 
 /**
- * Wald's sequential probability ratio test of "fails nearly always" against "fails as often as all". Evidence is the
- * logarithm of the likelihood ratio, from 0 to the bound at which the test decides.
+ * Wald's sequential probability ratio test of the hypothesis that a member of a group fails nearly always against the
+ * hypothesis that it fails as often as the whole group. The evidence is the logarithm of the likelihood ratio, from 0
+ * to the bound at which the test decides.
  *
- * @param minFailureShare the least failure share of all that is assumed
- * @param maxFailureShare the largest failure share of all that is assumed
+ * @param bound the evidence at which the test decides, and its maximum
+ * @param minFailureShare the lower bound of the group's failure share that the test assumes
+ * @param maxFailureShare the upper bound of the group's failure share that the test assumes
  */
 public record SequentialTest(double bound, double minFailureShare, double maxFailureShare) {
 
-    /** What fails nearly always succeeds so many times less often than usual. */
+    /** A member that fails nearly always is assumed to succeed this many times less often than usual. */
     private static final double USUAL_OVER_BROKEN_SUCCESS = 10;
 
-    /** The evidence after one more outcome, where the given share of all outcomes fails. */
+    /**
+     * Returns the evidence after one more outcome.
+     *
+     * @param evidence the evidence before the outcome
+     * @param failureShare the share of failures among all outcomes of the group
+     */
     public double evidenceAfter(double evidence, double failureShare, boolean isFailed) {
         double usual = Math.min(maxFailureShare, Math.max(minFailureShare, failureShare));
         double broken = (USUAL_OVER_BROKEN_SUCCESS - 1 + usual) / USUAL_OVER_BROKEN_SUCCESS;
--- a/core/src/main/java/portrelay/model/Tenant.java
+++ b/core/src/main/java/portrelay/model/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant as the settings describe it.
  *
- * @param share share of the service, above 0 and at most 1
- * @param requestsPerSecond quota over all sidecars
+ * @param share its share of the service, above 0 and at most 1
+ * @param requestsPerSecond its quota over all sidecars
  */
 public record Tenant(TenantId id, double share, double requestsPerSecond) {}
--- a/core/src/main/java/portrelay/model/TimerQueue.java
+++ b/core/src/main/java/portrelay/model/TimerQueue.java
@@ -4,14 +4,19 @@
 import java.util.function.Predicate;
 
 /**
- * Timers of subjects, each with the input that it gives; where times are equal, in the order of scheduling.
+ * A queue of timers, each with the input that its subject is to be given. Timers with equal times are ordered by when
+ * they were scheduled.
  *
- * @param <Q> the subjects
- * @param <I> the inputs
+ * @param <Q> the type of the subjects
+ * @param <I> the type of the inputs
  */
 public final class TimerQueue<Q, I> {
 
-    /** A scheduled timer. */
+    /**
+     * A scheduled timer.
+     *
+     * @param order the number of timers that were scheduled before
+     */
     public record Timer<Q, I>(double time, long order, Q subject, I input) {}
 
     private final PriorityQueue<Timer<Q, I>> timers = new PriorityQueue<>(
@@ -23,12 +28,15 @@
         timers.add(new Timer<>(time, order++, subject, input));
     }
 
-    /** Removes and returns the first timer that is due; null where none is. */
+    /** Removes and returns the first timer that is due; null if none is. */
     public Timer<Q, I> pollDue(double now) {
         return !timers.isEmpty() && timers.peek().time <= now ? timers.poll() : null;
     }
 
-    /** When the first timer of an open subject is due; infinite where there is none. Drops earlier ones of others. */
+    /**
+     * Returns when the first timer of an open subject is due; infinity if there is none. Removes the earlier timers,
+     * whose subjects are no longer open.
+     */
     public double nextAt(Predicate<Q> isOpen) {
         while (!timers.isEmpty() && !isOpen.test(timers.peek().subject)) {
             timers.poll();
--- a/core/src/main/java/portrelay/model/Topology.java
+++ b/core/src/main/java/portrelay/model/Topology.java
@@ -1,11 +1,13 @@
 package portrelay.model;
 
 /**
- * The place of a sidecar in its fleet, and what it can learn of the load there.
+ * The position of a sidecar in its fleet, and its sources of information on the load of upstreams.
  *
- * @param sidecarIndex its number, from 0
- * @param sidecarCount the number of sidecars, at least 1
- * @param zone null where the settings name none
+ * @param sidecarIndex the index of this sidecar, from 0
+ * @param sidecarCount the number of sidecars in the fleet, at least 1
+ * @param zone the zone of this sidecar; null if the settings name none
+ * @param weights what the weights of the endpoint list stand for
+ * @param reports how upstreams report their load
  * @param peerMessagesAllowed whether sidecars may send each other messages
  * @param probesAllowed whether upstreams may be probed for their load
  */
@@ -18,7 +20,10 @@
         boolean peerMessagesAllowed,
         boolean probesAllowed) {
 
-    /** What the weights of the endpoint list are: nothing, capacities, rough capacities, or lowered by the load. */
+    /**
+     * What the weights of the endpoint list stand for: nothing, capacities, rough capacities, or capacities reduced by
+     * load.
+     */
     public enum Weights {
         SILENT,
         NOMINAL,
@@ -26,35 +31,38 @@
         LIVE
     }
 
-    /** Where upstreams report their load: nowhere, with each answer, or in answer to probes. */
+    /** How upstreams report their load: not at all, with each answer, or in answer to probes. */
     public enum Reports {
         SILENT,
         WITH_ANSWERS,
         WITH_PROBES
     }
 
-    /** Whether load is probed before a request is sent. */
+    /** Whether upstreams are probed for their load before a request is sent. */
     public boolean probesLoad() {
         return reports == Reports.WITH_PROBES && probesAllowed;
     }
 
-    /** Whether sidecars report attempts to each other, as load reports come too late to select by. */
+    /** Whether sidecars report attempts to each other, as load reports, if any, arrive too late to select by. */
     public boolean sharesLoad() {
         return reports != Reports.WITH_PROBES && peerMessagesAllowed && sidecarCount > 1;
     }
 
-    /** Whether rendezvous hashing chooses the sidecars of an upstream: where nothing else shows its load. */
+    /** Whether rendezvous hashing chooses the sidecars of each upstream, as only their messages show its load. */
     public boolean usesRendezvousSubsets() {
         return sharesLoad() && reports == Reports.SILENT;
     }
 
-    /** The same place on sockets, where upstreams report no load, and messages pass only if there is a way for them. */
+    /**
+     * Returns this topology as it is on sockets: upstreams report no load and are not probed, and peer messages are
+     * allowed only if they can be sent.
+     */
     public Topology overSockets(boolean hasMessages) {
         return new Topology(
                 sidecarIndex, sidecarCount, zone, weights, Reports.SILENT, peerMessagesAllowed && hasMessages, false);
     }
 
-    /** The same place without any other sidecar. */
+    /** Returns this topology with one sidecar only. */
     public Topology standalone() {
         return new Topology(0, 1, zone, weights, reports, peerMessagesAllowed, probesAllowed);
     }
--- a/core/src/main/java/portrelay/model/TransitionTable.java
+++ b/core/src/main/java/portrelay/model/TransitionTable.java
@@ -1,33 +1,36 @@
 package portrelay.model;
 
 /**
- * A state machine as a table of state, input, next state and effect. An input without a row changes nothing, so that
- * timers need no cancelling.
+ * A state machine as a table of rows with a state, an input, the next state and an effect. An input that has no row in
+ * the current state is ignored, so that timers need not be cancelled.
  *
  * @param <S> the states
  * @param <I> the inputs
  * @param <D> the decider, whose methods are the effects
  * @param <Q> the subject, which has the state
  */
-// The rows are an array: a step is on the path of every request.
+// The rows are an array indexed by ordinals for speed: steps are on the path of every request.
 @SuppressWarnings("EnumOrdinal")
 public final class TransitionTable<S extends Enum<S>, I extends Enum<I>, D, Q extends TransitionTable.Subject<S>> {
 
-    /** Something that has a state; only the table changes it. */
+    /** A holder of a state that only the table changes. */
     public abstract static class Subject<S> {
         private S state;
 
+        /** Creates a subject in the initial state. */
         protected Subject(S initial) {
             state = initial;
         }
 
+        /** Returns the current state. */
         public final S state() {
             return state;
         }
     }
 
-    /** What a row does; an input that it returns is applied at once, in the row's next state. */
+    /** The effect of a row. */
     public interface Effect<D, Q, I> {
+        /** Runs the effect. Returns an input that is applied at once, in the row's next state; null for none. */
         I apply(D decider, Q subject);
     }
 
@@ -35,6 +38,7 @@
 
     private final Row<S, I, D, Q>[][] rows;
 
+    /** Creates a table without rows for these enums. */
     @SuppressWarnings({"unchecked", "rawtypes"})
     public TransitionTable(Class<S> states, Class<I> inputs) {
         rows = new Row[states.getEnumConstants().length][inputs.getEnumConstants().length];
@@ -45,7 +49,11 @@
         return row(state, input, next, (decider, subject) -> null);
     }
 
-    /** Adds a row; its state and input stand in no other. */
+    /**
+     * Adds a row.
+     *
+     * @throws IllegalArgumentException if there is a row for this state and input
+     */
     public TransitionTable<S, I, D, Q> row(S state, I input, S next, Effect<D, Q, I> effect) {
         if (rows[state.ordinal()][input.ordinal()] != null) {
             throw new IllegalArgumentException("two rows for " + state + ", " + input);
@@ -54,7 +62,7 @@
         return this;
     }
 
-    /** Gives the subject an input, and those that follow from it; null is none. */
+    /** Applies an input to the subject, and then the inputs that the effects return; null for no input. */
     public void step(D decider, Q subject, I first) {
         I input = first;
         while (input != null) {
--- a/core/src/test/java/portrelay/discovery/WatchCallsTest.java
+++ b/core/src/test/java/portrelay/discovery/WatchCallsTest.java
@@ -16,14 +16,14 @@
 import portrelay.model.DiscoveryRules;
 
 /**
- * An update is read within 6 s of discovery being reachable, whatever went before: sidecars in virtual time before one
- * discovery that serves calls in turn.
+ * Tests that an update is read within 6 s of discovery becoming reachable, whatever outage preceded: in virtual time,
+ * with sidecars that call one discovery which serves calls in turn.
  */
 class WatchCallsTest {
 
     private static final double READ_WITHIN_SECONDS = 6;
     private static final double REACHABLE_AT = 8;
-    /** The largest age in use: a backoff in proportion to it would be 7.5 s. */
+    /** Has the largest maximum age in use; a backoff proportional to it would be 7.5 s. */
     private static final DiscoveryRules RULES = new DiscoveryRules(true, 30);
 
     /** What happens to a call while discovery is unreachable. */
@@ -72,30 +72,30 @@
     }
 
     /** A sidecar's calls and its backoff after a failure. */
-    private final class Sidecar implements WatchCalls.Calls {
+    private final class Sidecar implements WatchCalls.Actions {
         final WatchCalls calls = new WatchCalls(this);
         final Set<Integer> outstanding = new HashSet<>();
         int failures;
         double updateReadAt = Double.POSITIVE_INFINITY;
 
         void watch() {
-            calls.call(false);
+            calls.begin(false);
         }
 
         @Override
-        public void begin(int call, double wait, double timeout) {
+        public void beginCall(int call, double wait, double timeout) {
             outstanding.add(call);
-            assertTrue(outstanding.size() <= 2, "more than two at once");
+            assertTrue(outstanding.size() <= 2, "more than two calls outstanding at the same time");
             after(timeout, () -> {
                 if (outstanding.contains(call)) {
                     calls.timedOut(call);
                 }
             });
-            arrives(this, call);
+            receiveCall(this, call);
         }
 
         @Override
-        public void end(int call, WatchCalls.EndReason reason) {
+        public void endCall(int call, WatchCalls.EndReason reason) {
             outstanding.remove(call);
         }
 
@@ -104,7 +104,7 @@
                 calls.answered(call);
                 updateReadAt = Math.min(updateReadAt, now);
                 failures = 0;
-                calls.call(false);
+                calls.begin(false);
             }
         }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    private void arrives(Sidecar sidecar, int call) {
+    private void receiveCall(Sidecar sidecar, int call) {
         if (now >= REACHABLE_AT) {
             callsReceived++;
             if (sidecar.updateReadAt < Double.POSITIVE_INFINITY) {
@@ -145,8 +145,8 @@
             }
             return;
         }
-        Outage met = outage == Outage.ANY_OF_THEM ? Outage.values()[random.nextInt(4)] : outage;
-        switch (met) {
+        Outage effectiveOutage = outage == Outage.ANY_OF_THEM ? Outage.values()[random.nextInt(4)] : outage;
+        switch (effectiveOutage) {
             case REFUSED -> after(0.001, () -> sidecar.failed(call));
             case CONNECT_TIMES_OUT -> after(1, () -> sidecar.failed(call));
             case BREAKS_OFF_LATE -> after(random.nextDouble() * 2, () -> sidecar.failed(call));
@@ -154,7 +154,10 @@
         }
     }
 
-    /** In turn, also calls that were abandoned: discovery can't tell. */
+    /**
+     * Answers the first queued call, and schedules the next answer. Abandoned calls are answered too: discovery can't
+     * tell.
+     */
     private void serveNext() {
         QueuedCall first = queue.poll();
         if (first != null) {
@@ -166,7 +169,10 @@
         }
     }
 
-    /** Sidecars begin at random while it is unreachable; seconds from then on until the last one has the update. */
+    /**
+     * Starts sidecars at random times while discovery is unreachable. Returns the seconds from when it is reachable
+     * until the last sidecar has the update.
+     */
     private double secondsUntilAllRead(int sidecars) {
         List<Sidecar> all = new ArrayList<>();
         for (int i = 0; i < sidecars; i++) {
@@ -181,19 +187,20 @@
         return all.stream().mapToDouble(each -> each.updateReadAt).max().orElseThrow() - REACHABLE_AT;
     }
 
-    /** Guards against a backoff in proportion to the list's maximum age, which no bound kept below 6 s. */
+    /** Guards against a backoff proportional to the list's maximum age, which had no bound below 6 s. */
     @Test
     void theBackoffIsBoundedWhateverTheSettings() {
         for (double maxAge : new double[] {0, 2, 30, 1e6}) {
             DiscoveryRules rules = new DiscoveryRules(true, maxAge);
             for (int failures = 0; failures < 100; failures++) {
                 assertTrue(rules.backoff(failures, 1) <= 0.75, maxAge + " s, " + failures + " failures");
-                assertTrue(rules.backoff(failures, 0) >= 0.25, "all come back together");
+                assertTrue(
+                        rules.backoff(failures, 0) >= 0.25, "backoff too short: sidecars would retry at the same time");
             }
         }
     }
 
-    /** One sidecar, whatever happened to its last call before discovery was reachable. */
+    /** A single sidecar, whatever happened to its last call before discovery was reachable. */
     @Test
     void oneSidecarReadsTheUpdateInTimeAfterAnyOutage() {
         for (Outage outage : Outage.values()) {
@@ -209,7 +216,7 @@
         }
     }
 
-    /** At twenty answers a second a hundred sidecars that were all refused fit into the 6 s. */
+    /** At 20 answers per second, 100 sidecars whose calls all failed can be answered within the 6 s. */
     @Test
     void aHundredSidecarsReadTheUpdateInTimeFromABusyDiscovery() {
         for (Outage outage : Outage.values()) {
@@ -218,44 +225,44 @@
                 fleet.outage = outage;
                 fleet.overload = overload;
                 double latest = fleet.secondsUntilAllRead(100);
-                String which =
+                String failure =
                         outage + ", " + overload + ": read after " + latest + ", " + fleet.callsReceived + " calls";
-                assertTrue(latest < READ_WITHIN_SECONDS, which);
+                assertTrue(latest < READ_WITHIN_SECONDS, failure);
             }
         }
     }
 
-    /** Without failures a watch is renewed every 20 s and no sooner. */
+    /** Without failures discovery may hold each watch for 20 s, and no further call begins beside it. */
     @Test
     void withoutFailuresOneWatchIsOutstandingAtATime() {
         List<String> log = new ArrayList<>();
-        WatchCalls calls = new WatchCalls(recorded(log));
-        calls.call(false);
+        WatchCalls calls = new WatchCalls(recordingActions(log));
+        calls.begin(false);
         calls.answered(1);
-        calls.call(false);
+        calls.begin(false);
         calls.answered(2);
-        calls.call(true);
+        calls.begin(true);
         assertEquals(List.of("1 waits 20.0 for 20.5", "2 waits 20.0 for 20.5", "3 waits 0.0 for 2.5"), log);
     }
 
-    /** A late call keeps its place in discovery's queue; its answer counts and ends the other one. */
+    /** A late call keeps its place in discovery's queue; its answer is used and ends the other call. */
     @Test
-    void takesTheAnswerOfALateCallAndIgnoresTimeoutsOfEndedOnes() {
+    void answerOfALateCallIsUsedAndTimeoutsOfEndedCallsAreIgnored() {
         List<String> log = new ArrayList<>();
-        WatchCalls calls = new WatchCalls(recorded(log));
+        WatchCalls calls = new WatchCalls(recordingActions(log));
         calls.failed(0);
-        calls.call(false);
+        calls.begin(false);
         calls.timedOut(1);
         assertEquals(List.of("1 waits 3.0 for 3.5", "2 waits 3.0 for 3.5"), log);
         assertTrue(calls.isOutstanding(1));
         calls.timedOut(1);
-        assertEquals(2, log.size(), "the older one's timeout begins nothing");
+        assertEquals(2, log.size(), "the timeout of the older call begins no other call");
         calls.answered(1);
         assertEquals("ends 2", log.get(2));
         assertFalse(calls.isOutstanding());
         calls.timedOut(2);
         assertEquals(3, log.size());
-        calls.call(false);
+        calls.begin(false);
         assertEquals("3 waits 20.0 for 20.5", log.get(3));
         calls.timedOut(3);
         assertEquals(List.of("ends 3", "4 waits 3.0 for 3.5"), log.subList(4, 6));
@@ -266,15 +273,15 @@
         assertEquals("ends 5", log.get(9));
     }
 
-    private static WatchCalls.Calls recorded(List<String> log) {
-        return new WatchCalls.Calls() {
+    private static WatchCalls.Actions recordingActions(List<String> log) {
+        return new WatchCalls.Actions() {
             @Override
-            public void begin(int call, double wait, double timeout) {
+            public void beginCall(int call, double wait, double timeout) {
                 log.add(call + " waits " + wait + " for " + timeout);
             }
 
             @Override
-            public void end(int call, WatchCalls.EndReason reason) {
+            public void endCall(int call, WatchCalls.EndReason reason) {
                 log.add("ends " + call);
             }
         };
--- a/core/src/test/java/portrelay/lease/LeaseExplorerTest.java
+++ b/core/src/test/java/portrelay/lease/LeaseExplorerTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import portrelay.lease.LeaseWorld.Defect;
-import portrelay.lease.LeaseWorld.Next;
 import portrelay.lease.LeaseWorld.Rules;
+import portrelay.lease.LeaseWorld.Transition;
 
 /**
- * Explores all behaviours of the real state machines, breadth first to a depth, for two holders at the same time and
- * for a token that descends. Each planted defect is found.
+ * Explores all behaviours of the real state machines, breadth first up to a depth, and checks that there are never two
+ * holders at the same time and that tokens never decrease. Each planted defect has to be found.
  */
 class LeaseExplorerTest {
 
@@ -27,7 +27,7 @@
     private static final double SLOW = 1 - LeaseWorld.DRIFT;
     private static final double FAST = 1 + LeaseWorld.DRIFT;
 
-    /** A state, and the steps to it as a linked list. */
+    /** A state that was reached, and the steps to it as a linked list. */
     private record Reached(LeaseWorld world, int depth, String action, Reached previous) {
 
         List<String> trace() {
@@ -39,7 +39,7 @@
         }
     }
 
-    private record Result(Reached broken, int states, int depth) {}
+    private record Result(Reached violating, int states, int depth) {}
 
     private static Result explore(LeaseWorld start, int maxDepth) {
         Set<LeaseWorld> seen = new HashSet<>();
@@ -56,9 +56,9 @@
             if (current.depth == maxDepth) {
                 continue;
             }
-            for (Next next : current.world.next()) {
-                if (seen.add(next.world())) {
-                    frontier.add(new Reached(next.world(), current.depth + 1, next.action(), current));
+            for (Transition transition : current.world.transitions()) {
+                if (seen.add(transition.world())) {
+                    frontier.add(new Reached(transition.world(), current.depth + 1, transition.action(), current));
                 }
             }
         }
@@ -67,11 +67,11 @@
 
     private static void assertSafe(String name, Result result) {
         System.out.println("lease, " + name + ": " + result.states + " states to depth " + result.depth);
-        assertNull(result.broken, () -> result.broken.world.violation() + " by " + result.broken.trace());
+        assertNull(result.violating, () -> result.violating.world.violation() + " by " + result.violating.trace());
     }
 
     @Test
-    void twoContendersAreNeverBothHolders() {
+    void twoContendersNeverHoldTheLeaseAtTheSameTime() {
         Rules rules = new Rules(Defect.NONE, Set.of(0, 2), false, null, 3);
         assertSafe("two contenders", explore(LeaseWorld.start(rules, THREE, 0, 2, SLOW, FAST, FAST), 10));
     }
@@ -89,34 +89,35 @@
         assertSafe("a voter added", explore(LeaseWorld.start(rules, THREE, 0, 2, SLOW, FAST, FAST, FAST), 10));
     }
 
-    /** Guards the explorer itself: the search that finds each planted defect finds none in the real code. */
+    /** Tests the explorer itself: the search that finds each planted defect finds no violation in the real code. */
     @ParameterizedTest
     @EnumSource(
             value = Defect.class,
             names = {"TWO_VOTERS_CHANGED_AT_ONCE"},
             mode = EnumSource.Mode.EXCLUDE)
-    void eachPlantedDefectIsFoundAndOnlyThose(Defect defect) {
+    void eachPlantedDefectIsFoundAndTheRealCodeHasNone(Defect defect) {
         int restarts = defect == Defect.NONE || defect == Defect.NO_SILENCE_AFTER_RESTART ? 1 : 0;
-        Rules rules = new Rules(defect, Set.of(0, 2), !defect.needsDuel(), null, 2);
+        Rules rules = new Rules(defect, Set.of(0, 2), !defect.needsContention(), null, 2);
         Result result = explore(LeaseWorld.start(rules, THREE, restarts, 2, SLOW, FAST, FAST), 13);
         if (defect == Defect.NONE) {
             assertSafe("the search for defects", result);
             return;
         }
-        assertNotNull(result.broken, defect + " was not found in " + result.states + " states");
+        assertNotNull(result.violating, defect + ": no violation found in " + result.states + " states");
         System.out.println("lease, " + defect + " after " + result.states + " states: "
-                + result.broken.world.violation() + " by " + result.broken.trace());
+                + result.violating.world.violation() + " by " + result.violating.trace());
     }
 
-    /** Replacing a voter changes two at once, and majorities of the two sets need not share a voter. */
+    /** Replacing a voter changes two voters at once, so that majorities of the two sets need not share a voter. */
     @Test
     void changingTwoVotersAtOnceLeadsToTwoHolders() {
         VoterSet old = new VoterSet(List.of(0, 1, 2));
         VoterSet replaced = new VoterSet(List.of(0, 2, 3));
-        assertTrue(old.whyNotChangeTo(replaced).isPresent());
+        assertTrue(old.reasonAgainstChangeTo(replaced).isPresent());
         Rules rules = new Rules(Defect.TWO_VOTERS_CHANGED_AT_ONCE, Set.of(1, 3), true, replaced, 0);
         LeaseWorld start = LeaseWorld.start(rules, old, 0, 2, 1, 1, 1, 1);
         Result result = explore(start, 12);
-        assertNotNull(result.broken, "not found in " + result.states + " states");
+        assertNotNull(
+                result.violating, "two voters changed at once: no violation found in " + result.states + " states");
     }
 }
--- a/core/src/test/java/portrelay/lease/LeaseHistoriesTest.java
+++ b/core/src/test/java/portrelay/lease/LeaseHistoriesTest.java
@@ -11,17 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of five and seven voters in virtual time, all of them candidates: messages lost, duplicated and
- * late, peers partitioned, stopped and restarted, clocks that drift. A seed that fails is named and replays the same.
+ * Runs random histories of five and seven voters, all of them candidates, in virtual time: messages are lost,
+ * duplicated and late, peers are partitioned, stopped and restarted, and clocks drift. A failure names its seed, with
+ * which the same history can be replayed.
  */
 class LeaseHistoriesTest {
 
     private static final LeaseTerms TERMS = new LeaseTerms(2, 0.05, 0.4, 0.2);
     private static final double FAULTS_END_AT = 20;
-    /** Silence after a restart, the rest of a lost holder's lease, and some rounds. */
+    /** Time for the silence after a restart, the rest of a lost holder's lease, and some rounds. */
     private static final double HOLDER_WITHIN_SECONDS = 10;
 
-    private static final double MAX_LATE_SECONDS = 5;
+    private static final double MAX_LATE_DELAY_SECONDS = 5;
     private static final double MAX_DELAY_SECONDS = 0.02;
     private static final int SEEDS = 10_000;
 
@@ -32,11 +33,11 @@
         double rate;
         double pausedUntil;
         boolean isPartitioned;
-        /** The number of the timer that was set last; older ones are void. */
+        /** The number of the timer that was set last; older timers have no effect. */
         long timer;
     }
 
-    /** One history; violation is null while all is well. */
+    /** One history; violation is null as long as no violation was found. */
     private static final class History {
         final SplittableRandom random;
         final List<Peer> peers = new ArrayList<>();
@@ -47,7 +48,7 @@
         long order;
         long highestToken;
         double withoutHolderSince;
-        double longestWithout;
+        double longestWithoutHolder;
         int holdersSeen;
         String violation;
 
@@ -60,13 +61,13 @@
                 peers.add(peer);
                 start(i, 0);
             }
-            for (double at = 0.5; at < FAULTS_END_AT; at += 0.2 + random.nextDouble()) {
-                at(at, this::fault);
+            for (double time = 0.5; time < FAULTS_END_AT; time += 0.2 + random.nextDouble()) {
+                schedule(time, this::injectFault);
             }
-            at(FAULTS_END_AT, this::heal);
+            schedule(FAULTS_END_AT, this::endFaults);
         }
 
-        void at(double time, Runnable action) {
+        void schedule(double time, Runnable action) {
             events.add(new Event(time, order++, action));
         }
 
@@ -84,9 +85,9 @@
             Peer peer = peers.get(index);
             long timer = ++peer.timer;
             double due = Math.max(now, peer.replica.nextTimerAt() / peer.rate + 1e-6);
-            at(due, () -> {
+            schedule(due, () -> {
                 if (timer == peer.timer) {
-                    wake(
+                    runUnlessStopped(
                             index,
                             () -> step(
                                     index,
@@ -95,11 +96,11 @@
             });
         }
 
-        /** A peer that is stopped gets its events when it goes on. */
-        void wake(int index, Runnable action) {
+        /** Runs an action of a peer, after the pause if the peer is stopped. */
+        void runUnlessStopped(int index, Runnable action) {
             Peer peer = peers.get(index);
             if (now < peer.pausedUntil) {
-                at(peer.pausedUntil, () -> wake(index, action));
+                schedule(peer.pausedUntil, () -> runUnlessStopped(index, action));
             } else {
                 action.run();
             }
@@ -112,12 +113,12 @@
         }
 
         void send(int from, Replica.Outgoing out) {
-            boolean isHealed = now >= FAULTS_END_AT;
-            int copies = isHealed ? 1 : random.nextInt(10) < 3 ? 0 : random.nextInt(10) == 0 ? 2 : 1;
+            boolean hasNoFaults = now >= FAULTS_END_AT;
+            int copies = hasNoFaults ? 1 : random.nextInt(10) < 3 ? 0 : random.nextInt(10) == 0 ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                boolean isLate = !isHealed && random.nextInt(10) == 0;
-                double delay = random.nextDouble() * (isLate ? MAX_LATE_SECONDS : MAX_DELAY_SECONDS);
-                at(now + delay, () -> receive(from, out));
+                boolean isLate = !hasNoFaults && random.nextInt(10) == 0;
+                double delay = random.nextDouble() * (isLate ? MAX_LATE_DELAY_SECONDS : MAX_DELAY_SECONDS);
+                schedule(now + delay, () -> receive(from, out));
             }
         }
 
@@ -125,13 +126,13 @@
             if (peers.get(from).isPartitioned || peers.get(out.to()).isPartitioned) {
                 return;
             }
-            wake(out.to(), () -> {
+            runUnlessStopped(out.to(), () -> {
                 Replica to = peers.get(out.to()).replica;
                 step(out.to(), to.onMessage(from, out.message(), clock(out.to()), random.nextDouble()));
             });
         }
 
-        void fault() {
+        void injectFault() {
             int index = random.nextInt(peers.size());
             Peer peer = peers.get(index);
             switch (random.nextInt(5)) {
@@ -139,11 +140,12 @@
                 case 1 -> peer.pausedUntil = now + 4 * random.nextDouble();
                 case 2 -> peer.isPartitioned = true;
                 case 3 -> peer.isPartitioned = false;
-                default -> wake(index, () -> step(index, peer.replica.release(clock(index), random.nextDouble())));
+                default ->
+                    runUnlessStopped(index, () -> step(index, peer.replica.release(clock(index), random.nextDouble())));
             }
         }
 
-        void heal() {
+        void endFaults() {
             peers.forEach(each -> {
                 each.isPartitioned = false;
                 each.pausedUntil = now;
@@ -162,11 +164,13 @@
             }
         }
 
-        /** A stopped peer that holds the lease counts as a holder: it may act when it goes on. */
-        void check(double at) {
+        /**
+         * Checks the holders at a time. A stopped peer that holds the lease counts, as it may act when it continues.
+         */
+        void check(double time) {
             int holders = 0;
             for (Peer each : peers) {
-                if (!each.replica.holds(at * each.rate)) {
+                if (!each.replica.holds(time * each.rate)) {
                     continue;
                 }
                 holders++;
@@ -175,27 +179,30 @@
                 holdersSeen += token > highestToken ? 1 : 0;
                 highestToken = Math.max(highestToken, token);
             }
-            violation = holders > 1 ? holders + " holders at " + at : violation;
-            longestWithout = holders == 0 ? Math.max(longestWithout, at - withoutHolderSince) : longestWithout;
-            withoutHolderSince = holders == 0 ? withoutHolderSince : at;
+            violation = holders > 1 ? holders + " holders at " + time : violation;
+            longestWithoutHolder =
+                    holders == 0 ? Math.max(longestWithoutHolder, time - withoutHolderSince) : longestWithoutHolder;
+            withoutHolderSince = holders == 0 ? withoutHolderSince : time;
         }
     }
 
     @Test
     void randomHistoriesNeverHaveTwoHoldersAndHaveOneSoonAfterTheFaults() {
         long holders = 0;
-        double longestWithout = 0;
+        double longestWithoutHolder = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             History history = new History(seed, seed % 2 == 0 ? 5 : 7);
             history.run();
             assertEquals(null, history.violation, "seed " + seed);
             double withoutHolder = FAULTS_END_AT + HOLDER_WITHIN_SECONDS - history.withoutHolderSince;
-            assertTrue(withoutHolder < 1, "seed " + seed + ": nobody held for " + withoutHolder + " s at the end");
+            assertTrue(
+                    withoutHolder < 1,
+                    "seed " + seed + ": no holder for the last " + withoutHolder + " s of the history");
             holders += history.holdersSeen;
-            longestWithout = Math.max(longestWithout, history.longestWithout);
+            longestWithoutHolder = Math.max(longestWithoutHolder, history.longestWithoutHolder);
         }
         System.out.println("lease, " + SEEDS + " histories: " + holders + " holders, longest without one "
-                + Math.round(longestWithout * 10) / 10.0 + " s, faults of 20 s among them");
-        assertTrue(2 * holders > 3L * SEEDS, "too few holders for the histories to show anything: " + holders);
+                + Math.round(longestWithoutHolder * 10) / 10.0 + " s, including the 20 s of faults");
+        assertTrue(2 * holders > 3L * SEEDS, "too few holders for the histories to be a meaningful test: " + holders);
     }
 }
--- a/core/src/test/java/portrelay/lease/LeaseWorld.java
+++ b/core/src/test/java/portrelay/lease/LeaseWorld.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Some replicas of one lease, their clocks and the network between them, in true time that advances in whole steps. A
+ * A model of the replicas of one lease, their clocks and the network between them. True time advances in whole steps. A
  * message may arrive at any time, in any order and any number of times, or never. Immutable, so that the explorer can
- * continue from any state. {@code violation} is null while all is well.
+ * continue from any state. {@code violation} is null as long as no violation was found.
  */
 record LeaseWorld(
         Rules rules,
@@ -21,7 +21,7 @@
         long highestToken,
         String violation) {
 
-    /** A defect that the explorer has to find; NONE is the real code. */
+    /** A planted defect that the explorer has to find; NONE is the real code. */
     enum Defect {
         NONE,
         NO_SILENCE_AFTER_RESTART,
@@ -31,21 +31,22 @@
         PROMISE_FORGOTTEN_AT_RENEWAL,
         TWO_VOTERS_CHANGED_AT_ONCE;
 
-        /** Whether it shows only if two candidates contend from the start. */
-        boolean needsDuel() {
+        /** Whether the defect shows only if two candidates contend from the start. */
+        boolean needsContention() {
             return this == PROMISE_FORGOTTEN_AT_RENEWAL || this == HALF_A_QUORUM;
         }
     }
 
     /**
-     * What may happen.
+     * The transitions that may happen.
      *
      * @param candidates the peers that try to hold the lease
-     * @param oneAfterTheOther whether the others begin only after the first has won
-     * @param reloadsTo the voter set of a reload; null for none
-     * @param lastTime the end of true time
+     * @param sequentialStart whether the other candidates begin only after the first has won
+     * @param reloadedVoters the voter set of a configuration reload; null for no reload
+     * @param lastTime the true time at which exploration ends
      */
-    record Rules(Defect defect, Set<Integer> candidates, boolean oneAfterTheOther, VoterSet reloadsTo, int lastTime) {}
+    record Rules(
+            Defect defect, Set<Integer> candidates, boolean sequentialStart, VoterSet reloadedVoters, int lastTime) {}
 
     /** One process; its clock shows true time multiplied by the rate. */
     record Node(Replica replica, double rate) {
@@ -55,27 +56,34 @@
         }
     }
 
+    /** A message that was sent, with the fingerprint of the sender's voter set. */
     record Envelope(int from, int to, int voters, LeaseMessage message) {}
 
-    record Next(String action, LeaseWorld world) {}
+    /** A possible transition: its description and the state that it leads to. */
+    record Transition(String action, LeaseWorld world) {}
 
-    /** With this drift a lease on the slowest clock lasts as long as a promise on the fastest. */
+    /**
+     * The duration of the lease. With {@link #DRIFT} a lease on the slowest clock lasts as long as a promise on the
+     * fastest one.
+     */
     private static final double DURATION_SECONDS = 2;
 
     static final double DRIFT = 0.5;
     private static final double ROUND_TIMEOUT_SECONDS = 0.9;
     private static final double BACKOFF_SECONDS = 1e-9;
-    /** So large that contenders that outbid each other's ballots stay below the next step's. */
+    /** So large that ballot numbers of contenders that outbid each other stay below those of the next time step. */
     private static final long WALL_CLOCK_MS_PER_STEP = 1000;
 
     private static final double LONG_AGO = -100;
 
     static LeaseTerms terms(Defect defect) {
-        boolean noDrift = defect == Defect.DRIFT_LEFT_OUT;
-        return new LeaseTerms(DURATION_SECONDS, noDrift ? 0 : DRIFT, ROUND_TIMEOUT_SECONDS, BACKOFF_SECONDS);
+        boolean ignoresDrift = defect == Defect.DRIFT_LEFT_OUT;
+        return new LeaseTerms(DURATION_SECONDS, ignoresDrift ? 0 : DRIFT, ROUND_TIMEOUT_SECONDS, BACKOFF_SECONDS);
     }
 
-    /** All have run for long, so none is silent; node i's clock has the i-th rate. */
+    /**
+     * Returns the initial state. All processes have run for long, so none is silent; node i's clock has the i-th rate.
+     */
     static LeaseWorld start(Rules rules, VoterSet voters, int restarts, int rounds, double... rates) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < rates.length; i++) {
@@ -87,27 +95,29 @@
         return new LeaseWorld(rules, 0, List.copyOf(nodes), Set.of(), restarts, rounds, 0, null);
     }
 
-    /** All possible next steps. */
-    List<Next> next() {
-        List<Next> all = new ArrayList<>();
+    /** Returns all possible transitions from this state. */
+    List<Transition> transitions() {
+        List<Transition> all = new ArrayList<>();
         if (time < rules.lastTime) {
             LeaseWorld later =
                     new LeaseWorld(rules, time + 1, nodes, sent, restartsLeft, roundsLeft, highestToken, violation);
-            all.add(new Next("time " + (time + 1), later.checked()));
+            all.add(new Transition("time " + (time + 1), later.checked()));
         }
         for (int i = 0; i < nodes.size(); i++) {
-            addTimer(all, i);
+            addTimerTransition(all, i);
             if (restartsLeft > 0) {
-                all.add(new Next("restart " + i, restarted(i)));
+                all.add(new Transition("restart " + i, restarted(i)));
             }
-            if (rules.reloadsTo != null && !rules.reloadsTo.equals(replica(i).voters())) {
-                all.add(new Next("reload " + i, reloaded(i)));
+            if (rules.reloadedVoters != null
+                    && !rules.reloadedVoters.equals(replica(i).voters())) {
+                all.add(new Transition("reload " + i, reloaded(i)));
             }
         }
-        for (Envelope each : sent) {
-            LeaseWorld delivered = delivered(each);
+        for (Envelope envelope : sent) {
+            LeaseWorld delivered = delivered(envelope);
             if (!delivered.equals(this)) {
-                all.add(new Next("to " + each.to + " from " + each.from + " " + each.message, delivered));
+                all.add(new Transition(
+                        "to " + envelope.to + " from " + envelope.from + " " + envelope.message, delivered));
             }
         }
         return all;
@@ -121,21 +131,21 @@
         return nodes.get(node).now(time);
     }
 
-    private void addTimer(List<Next> all, int node) {
+    private void addTimerTransition(List<Transition> all, int node) {
         double due = replica(node).nextTimerAt();
-        boolean startsRound = replica(node).proposer().phase() == Proposer.Phase.RESTING;
-        boolean mustWait = rules.oneAfterTheOther && node != Collections.min(rules.candidates) && highestToken == 0;
+        boolean startsRound = replica(node).proposer().phase() == Proposer.Phase.IDLE;
+        boolean mustWait = rules.sequentialStart && node != Collections.min(rules.candidates) && highestToken == 0;
         if (mustWait
                 || !rules.candidates.contains(node)
                 || due > now(node) + 2 * BACKOFF_SECONDS
                 || startsRound && roundsLeft == 0) {
             return;
         }
-        double at = Math.max(now(node), due);
-        Replica.Step step = replica(node).onTimer(at, time * WALL_CLOCK_MS_PER_STEP, 0);
+        double firedAt = Math.max(now(node), due);
+        Replica.Step step = replica(node).onTimer(firedAt, time * WALL_CLOCK_MS_PER_STEP, 0);
         LeaseWorld after = stepped(node, step);
         int rounds = roundsLeft - (startsRound ? 1 : 0);
-        all.add(new Next(
+        all.add(new Transition(
                 "timer of " + node,
                 new LeaseWorld(
                         rules,
@@ -151,8 +161,8 @@
     private LeaseWorld restarted(int node) {
         Replica old = replica(node);
         Holder self = new Holder(node, old.self().incarnation() + 1);
-        boolean silent = rules.defect != Defect.NO_SILENCE_AFTER_RESTART;
-        Replica fresh = Replica.started(self, old.voters(), old.terms(), silent ? now(node) : LONG_AGO, 0);
+        boolean isSilent = rules.defect != Defect.NO_SILENCE_AFTER_RESTART;
+        Replica fresh = Replica.started(self, old.voters(), old.terms(), isSilent ? now(node) : LONG_AGO, 0);
         Replica ready = new Replica(self, fresh.voters(), fresh.terms(), fresh.acceptor(), Proposer.started(now(node)));
         LeaseWorld after = with(node, ready, sent);
         return new LeaseWorld(
@@ -162,27 +172,30 @@
     private LeaseWorld reloaded(int node) {
         Replica old = replica(node);
         Replica next = rules.defect == Defect.TWO_VOTERS_CHANGED_AT_ONCE
-                ? new Replica(old.self(), rules.reloadsTo, old.terms(), old.acceptor(), old.proposer())
-                : old.withVoters(rules.reloadsTo, now(node), 0);
+                ? new Replica(old.self(), rules.reloadedVoters, old.terms(), old.acceptor(), old.proposer())
+                : old.withVoters(rules.reloadedVoters, now(node), 0);
         return with(node, next, sent);
     }
 
-    private LeaseWorld delivered(Envelope each) {
-        Replica to = replica(each.to);
-        if (each.voters != to.voters().fingerprint()) {
+    private LeaseWorld delivered(Envelope envelope) {
+        Replica to = replica(envelope.to);
+        if (envelope.voters != to.voters().fingerprint()) {
             return this;
         }
-        Replica.Step step = to.onMessage(each.from, each.message, now(each.to), 0);
-        return stepped(each.to, planted(each, to, step));
+        Replica.Step step = to.onMessage(envelope.from, envelope.message, now(envelope.to), 0);
+        return stepped(envelope.to, withDefect(envelope, to, step));
     }
 
-    /** Applies the defects of the state machines; the others are in what these are started with. */
-    private Replica.Step planted(Envelope each, Replica before, Replica.Step step) {
+    /**
+     * Applies the defects of the state machines. The others are planted in the terms, at a restart or reload, and where votes
+     * are counted.
+     */
+    private Replica.Step withDefect(Envelope envelope, Replica before, Replica.Step step) {
         Replica next = step.next();
         Proposer proposer = next.proposer();
         Acceptor acceptor = next.acceptor();
-        if (rules.defect == Defect.LEASE_COUNTED_FROM_THE_REPLY && won(before, next, each.to)) {
-            double until = now(each.to) + next.terms().holderTerm();
+        if (rules.defect == Defect.LEASE_COUNTED_FROM_THE_REPLY && won(before, next, envelope.to)) {
+            double until = now(envelope.to) + next.terms().holderTerm();
             proposer = new Proposer(
                     proposer.phase(),
                     proposer.ballot(),
@@ -194,7 +207,7 @@
                     proposer.highestNumber(),
                     proposer.failures());
         }
-        if (rules.defect == Defect.PROMISE_FORGOTTEN_AT_RENEWAL && each.message instanceof LeaseMessage.Propose) {
+        if (rules.defect == Defect.PROMISE_FORGOTTEN_AT_RENEWAL && envelope.message instanceof LeaseMessage.Propose) {
             acceptor = new Acceptor(
                     null, acceptor.accepted(), acceptor.holder(), acceptor.acceptedUntil(), acceptor.silentUntil());
         }
@@ -215,7 +228,7 @@
         return with(node, next, Set.copyOf(all)).checked();
     }
 
-    /** Adds a vote that nobody cast: one vote passes for a majority of three. */
+    /** Adds a vote that no voter cast, so that one vote counts as a majority of three. */
     private Replica withOneVoteLess(Replica replica, int node, Set<Envelope> all) {
         Replica next = replica;
         int absentVoter = nodes.size() - 1;
@@ -243,8 +256,9 @@
     }
 
     /**
-     * Without what has no effect, which keeps the state space small: replies to past rounds, ballot numbers that a node
-     * without candidacy saw, and rejections, each of which is as if it had been lost and the round had timed out.
+     * Returns this state without parts that have no effect, which keeps the state space small: replies to past rounds,
+     * ballot numbers that a node saw that is not a candidate, and rejections, each of which is equivalent to a lost
+     * message and a timeout of the round.
      */
     private LeaseWorld pruned() {
         Set<Envelope> kept = new HashSet<>();
@@ -272,7 +286,9 @@
                 rules, time, List.copyOf(reduced), Set.copyOf(kept), restartsLeft, roundsLeft, highestToken, violation);
     }
 
-    /** With a violation if there are two holders now, or one whose token is below an earlier one. */
+    /**
+     * Returns this state with a violation if there are two holders now, or one whose token is below an earlier token.
+     */
     private LeaseWorld checked() {
         List<Integer> holders = new ArrayList<>();
         long highest = highestToken;
--- a/core/src/test/java/portrelay/model/EventLoopLagTest.java
+++ b/core/src/test/java/portrelay/model/EventLoopLagTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When signals and arrivals are taken to have come where the event loop was late. */
+/** Tests how the times of signals and arrivals are dated back when the event loop was late. */
 class EventLoopLagTest {
 
     private static final double TOLERANCE = 1e-9;
 
-    /** A loop that has made every beat in time until then. */
+    /** Returns the lag of a loop that has made every beat in time until the given time. */
     private static EventLoopLag punctualLoop(double until) {
         EventLoopLag lag = new EventLoopLag();
         for (int beat = 0; beat * EventLoopLag.BEAT_INTERVAL <= until + TOLERANCE; beat++) {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anOldGapDatesNoSignalBack() {
+    void signalIsNotDatedBackForAnOldGap() {
         EventLoopLag lag = punctualLoop(1);
         lag.beat(1.2);
         for (int beat = 1; beat <= 8; beat++) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aShortGapDatesNoArrivalBack() {
+    void arrivalIsNotDatedBackForAShortGap() {
         EventLoopLag lag = punctualLoop(1);
         lag.beat(1.12);
         assertEquals(1.125, lag.earliestArrival(1.125), TOLERANCE);
--- a/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
+++ b/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
@@ -36,7 +36,7 @@
  * Keeps one watch of the endpoint list going: owns the connections to discovery and carries out the calls that
  * {@link WatchCalls} decides on.
  */
-public final class DiscoveryActor implements LoadBalancerActor.Watch, WatchCalls.Calls {
+public final class DiscoveryActor implements LoadBalancerActor.Watch, WatchCalls.Actions {
 
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
     /** Of no list yet, or of one that later changes do not apply to: the next call fetches the complete list. */
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void begin(int callId, double waitSeconds, double timeoutSeconds) {
+    public void beginCall(int callId, double waitSeconds, double timeoutSeconds) {
         OutstandingCall call = new OutstandingCall();
         outstanding.put(callId, call);
         // After a poll, so that an answer counts that has arrived and was not read yet.
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void end(int callId, WatchCalls.EndReason reason) {
+    public void endCall(int callId, WatchCalls.EndReason reason) {
         end(callId, reason.name().toLowerCase(Locale.ROOT));
     }
 
@@ -177,7 +177,7 @@
     }
 
     private void callNext() {
-        watchCalls.call(version == NO_VERSION);
+        watchCalls.begin(version == NO_VERSION);
     }
 
     private void connected(int callId, OutstandingCall call, HttpConnection connection, double waitSeconds) {
