--- a/core/src/main/java/portrelay/settings/InvalidSettingException.java
+++ b/core/src/main/java/portrelay/settings/InvalidSettingException.java
@@ -1,11 +1,16 @@
 package portrelay.settings;
 
-/** A field that is missing or invalid. The message, one line, names its path and what is expected there. */
+/** Thrown for a missing or invalid field. The one-line message names the field's path and what is expected there. */
 public final class InvalidSettingException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    /** The field is a path from the root, such as {@code settings.classes[0].name}. */
+    /**
+     * Creates an exception with the message {@code FIELD: expected WHAT}.
+     *
+     * @param field the path from the root, such as {@code settings.classes[0].name}
+     * @param expected what is expected there
+     */
     public InvalidSettingException(String field, String expected) {
         super(field + ": expected " + expected);
     }
--- a/core/src/main/java/portrelay/settings/JsonFields.java
+++ b/core/src/main/java/portrelay/settings/JsonFields.java
@@ -5,8 +5,11 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, each checked as it is read. Knows its path from the root, so that an
- * {@link InvalidSettingException} names the field.
+ * Typed access to the fields of one JSON object; each field is checked when it is read. Holds the object's path from
+ * the root, so that an {@link InvalidSettingException} can name the field by its full path.
+ *
+ * <p>Unless its comment says otherwise, a method that reads a field throws {@code InvalidSettingException} if the field
+ * is missing or of another type.
  */
 public final class JsonFields {
 
@@ -19,9 +22,9 @@
     }
 
     /**
-     * The fields of a tree.
+     * Returns the fields of a JSON tree.
      *
-     * @param path of the object from the root, empty for the root itself
+     * @param path the object's path from the root; empty for the root itself
      * @throws InvalidSettingException if the tree is not an object
      */
     public static JsonFields of(Object tree, String path) throws InvalidSettingException {
@@ -31,50 +34,50 @@
         throw new InvalidSettingException(path.isEmpty() ? "the whole" : path, "an object");
     }
 
-    /** The object as a map. */
-    public Map<?, ?> tree() {
+    /** Returns the object as a map from field names to values. */
+    public Map<?, ?> asMap() {
         return map;
     }
 
-    /** Whether the field is there and not null. */
+    /** Whether the field is present and not null. */
     public boolean has(String name) {
         return map.get(name) != null;
     }
 
-    /** An exception that names the field; not thrown here. */
+    /** Returns an exception that names the field, for the caller to throw. */
     public InvalidSettingException invalid(String name, String expected) {
         return new InvalidSettingException(pathOf(name), expected);
     }
 
-    /** A field that has to be an object. */
+    /** Returns the fields of a required object. */
     public JsonFields section(String name) throws InvalidSettingException {
         return of(map.get(name), pathOf(name));
     }
 
-    /** An array of objects; empty if absent. */
+    /** Returns the elements of an array of objects; empty if the field is absent. */
     public List<JsonFields> objects(String name) throws InvalidSettingException {
-        List<JsonFields> rows = new ArrayList<>();
+        List<JsonFields> elements = new ArrayList<>();
         Object value = map.get(name);
         if (value == null) {
-            return rows;
+            return elements;
         }
         if (!(value instanceof List<?> list)) {
             throw invalid(name, "an array");
         }
-        for (Object each : list) {
-            rows.add(of(each, pathOf(name) + "[" + rows.size() + "]"));
+        for (Object element : list) {
+            elements.add(of(element, pathOf(name) + "[" + elements.size() + "]"));
         }
-        return rows;
+        return elements;
     }
 
-    /** An array of strings that has to be there. */
+    /** Returns a required array of strings. */
     public List<String> strings(String name) throws InvalidSettingException {
         List<String> texts = new ArrayList<>();
         if (!(map.get(name) instanceof List<?> list)) {
             throw invalid(name, "an array of strings");
         }
-        for (Object each : list) {
-            if (!(each instanceof String text)) {
+        for (Object element : list) {
+            if (!(element instanceof String text)) {
                 throw invalid(name + "[" + texts.size() + "]", "a string");
             }
             texts.add(text);
@@ -82,7 +85,7 @@
         return texts;
     }
 
-    /** A string that has to be there. */
+    /** Returns a required string. */
     public String string(String name) throws InvalidSettingException {
         if (map.get(name) instanceof String text) {
             return text;
@@ -90,12 +93,12 @@
         throw invalid(name, "a string");
     }
 
-    /** A string, or the default if absent. */
+    /** Returns a string, or the default if the field is absent. */
     public String string(String name, String defaultValue) throws InvalidSettingException {
         return has(name) ? string(name) : defaultValue;
     }
 
-    /** A number that has to be there. */
+    /** Returns a required number. */
     public double number(String name) throws InvalidSettingException {
         if (map.get(name) instanceof Double number) {
             return number;
@@ -103,12 +106,12 @@
         throw invalid(name, "a number");
     }
 
-    /** A number, or the default if absent. */
+    /** Returns a number, or the default if the field is absent. */
     public double number(String name, double defaultValue) throws InvalidSettingException {
         return has(name) ? number(name) : defaultValue;
     }
 
-    /** A number from min to max, both included, or the default if absent. */
+    /** Returns a number from min to max, both inclusive, or the default if the field is absent. */
     public double range(String name, double defaultValue, double min, double max) throws InvalidSettingException {
         double value = number(name, defaultValue);
         if (!(value >= min && value <= max)) {
@@ -117,7 +120,7 @@
         return value;
     }
 
-    /** A whole number from min to max, both included, or the default if absent. */
+    /** Returns a whole number from min to max, both inclusive, or the default if the field is absent. */
     public int integer(String name, int defaultValue, int min, int max) throws InvalidSettingException {
         double value = range(name, defaultValue, min, max);
         if (value != Math.rint(value)) {
@@ -126,16 +129,16 @@
         return (int) value;
     }
 
-    /** Rejects a field of any other name: guards against a misspelt one that would silently have its default. */
+    /** Rejects fields of any other name, as a misspelt field would otherwise silently get its default. */
     public void rejectUnknown(String... names) throws InvalidSettingException {
-        for (Object each : map.keySet()) {
-            if (!List.of(names).contains(each)) {
-                throw invalid(String.valueOf(each), "one of " + String.join(", ", names) + " as its name");
+        for (Object name : map.keySet()) {
+            if (!List.of(names).contains(name)) {
+                throw invalid(String.valueOf(name), "one of " + String.join(", ", names) + " as its name");
             }
         }
     }
 
-    /** A boolean that has to be there. */
+    /** Returns a required boolean. */
     public boolean requiredBoolean(String name) throws InvalidSettingException {
         if (map.get(name) instanceof Boolean value) {
             return value;
--- a/core/src/main/java/portrelay/settings/Migration.java
+++ b/core/src/main/java/portrelay/settings/Migration.java
@@ -6,21 +6,28 @@
 import java.util.Map;
 
 /**
- * Makes an old configuration into one for another shape of deployment. The sidecar's identity, addresses, request
- * classes, tenants and admission stay those of the old configuration; the other settings are the shape's or, where the
- * shape has none, the old ones. Each field that is left out and each that the shape replaces is reported.
+ * Migrates a configuration to another deployment, whose settings are given as a "shape". The sidecar's identity,
+ * addresses, request classes, tenants and admission are kept from the old configuration. All other settings are taken
+ * from the shape or, where the shape has none, from the old configuration. Each field that is left out and each field
+ * that the shape replaces is reported.
  */
 public final class Migration {
 
     private static final String SETTINGS = "settings";
     private static final String KNOWN = "known";
-    /** Settings that the shape must not set. */
+    /** Settings that are always kept, so that the shape must not set them. */
     private static final List<String> KEPT_SETTINGS = List.of("classes", "tenants");
-    /** Fields of the configuration that the new one has too. */
+    /** Top-level fields that are carried over to the new configuration. */
     private static final List<String> KEPT_FIELDS =
             List.of("name", "listen", "mgmt", "discovery", "seed", "limits", "door", SETTINGS);
 
-    /** The new configuration, and a line for each field that was left out or replaced. */
+    /**
+     * The outcome of a migration.
+     *
+     * @param config the new configuration
+     * @param leftOut a line for each field of the old configuration that was left out
+     * @param replaced a line for each field whose old value the shape replaced
+     */
     public record Result(Map<String, Object> config, List<String> leftOut, List<String> replaced) {}
 
     private final List<String> leftOut = new ArrayList<>();
@@ -31,7 +38,9 @@
     /**
      * Migrates a valid configuration.
      *
-     * @throws InvalidSettingException for a field of the shape that is unknown, or that it must not set
+     * @param old the tree of the old configuration, which is not changed
+     * @param shape the tree of the shape, an object with the one field {@code settings}
+     * @throws InvalidSettingException for a field of the shape that is unknown or that the shape must not set
      */
     public static Result of(Map<?, ?> old, Object shape) throws InvalidSettingException {
         return new Migration().migrate(old, shape);
@@ -45,11 +54,11 @@
         Map<String, Object> config = new LinkedHashMap<>();
         old.forEach((name, value) -> {
             if (name.equals(KNOWN) && !hasNoHosts(value)) {
-                leftOut.add(KNOWN + ": upstreams of the old deployment; discovery tells the new ones");
+                leftOut.add(KNOWN + ": upstreams of the old deployment; discovery provides the new ones");
             } else if (KEPT_FIELDS.contains(name)) {
                 config.put((String) name, name.equals(SETTINGS) ? mergeSettings(map(value), shapeSettings) : value);
             } else if (!name.equals(KNOWN)) {
-                leftOut.add(name + ": nothing reads it");
+                leftOut.add(name + ": not used");
             }
         });
         return new Result(config, leftOut, replaced);
@@ -58,13 +67,14 @@
     private static void checkShape(JsonFields fields, Map<?, ?> shapeSettings) throws InvalidSettingException {
         for (Object name : shapeSettings.keySet()) {
             if (KEPT_SETTINGS.contains(name)) {
-                throw fields.invalid(name.toString(), "nothing: offerings and tenants are the old file's");
+                throw fields.invalid(
+                        name.toString(), "no such field: classes and tenants are kept from the old configuration");
             }
             if (!SettingsSchema.FIELDS.contains(name) && !SettingsSchema.SECTIONS.containsKey(name)) {
                 throw fields.invalid(name.toString(), "a setting that portrelay reads");
             }
         }
-        // In the file's order, so that the first wrong field is the one that is named.
+        // Checked in the order of the shape's file, so that always its first invalid section is reported.
         for (Object name : shapeSettings.keySet()) {
             List<String> knownNames = SettingsSchema.SECTIONS.get(name);
             if (knownNames != null) {
@@ -73,6 +83,7 @@
         }
     }
 
+    /** Returns the tree as a map; an empty one if it is not an object. */
     private static Map<?, ?> map(Object tree) {
         return tree instanceof Map<?, ?> map ? map : Map.of();
     }
@@ -117,12 +128,12 @@
             Map<?, ?> shapeFields,
             Map<String, Object> merged) {
         if (!knownNames.contains(name)) {
-            leftOut.add(path + ": nothing reads it any more");
+            leftOut.add(path + ": no longer used");
             return;
         }
         Object newValue = shapeFields.containsKey(name) ? shapeFields.get(name) : oldValue;
         if (!newValue.equals(oldValue)) {
-            replaced.add(path + ": " + oldValue + " before, the shape says " + newValue);
+            replaced.add(path + ": " + oldValue + " before, the shape sets " + newValue);
         }
         merged.put(name, newValue);
     }
--- a/core/src/main/java/portrelay/settings/NameIndex.java
+++ b/core/src/main/java/portrelay/settings/NameIndex.java
@@ -4,25 +4,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Names in the settings and the ids that the decisions use instead; filled by the parser, then only read. */
+/**
+ * Maps names in the settings to the ids that the load balancer uses instead of them. Filled by the parser, then only
+ * read.
+ */
 final class NameIndex<I> {
 
     private final Map<String, I> ids = new HashMap<>();
 
-    /** Returns whether the name was new. */
+    /** Adds a name with its id; returns whether the name was new. */
     boolean add(String name, I id) {
         return ids.put(name, id) == null;
     }
 
-    /** Null for an unknown name. */
+    /** Returns the id of a name; null for an unknown name. */
     I id(String name) {
         return ids.get(name);
     }
 
-    /** Throws {@link java.util.NoSuchElementException} for an unknown id. */
+    /**
+     * Returns the name of an id.
+     *
+     * @throws java.util.NoSuchElementException for an unknown id
+     */
     String name(I id) {
         return ids.keySet().stream()
-                .filter(each -> ids.get(each).equals(id))
+                .filter(name -> ids.get(name).equals(id))
                 .findFirst()
                 .orElseThrow();
     }
--- a/core/src/main/java/portrelay/settings/Settings.java
+++ b/core/src/main/java/portrelay/settings/Settings.java
@@ -13,7 +13,7 @@
 import portrelay.model.Topology;
 import portrelay.policy.LoadBalancer;
 
-/** A sidecar's settings: looks up names and limits, and creates load balancers that decide by them. Immutable. */
+/** A sidecar's settings: looks up names and limits, and creates load balancers that follow them. Immutable. */
 public final class Settings {
 
     private static final double DEFAULT_TENANT_WEIGHT = 1;
@@ -42,92 +42,94 @@
 
     // ---- Load balancers ---------------------------------------------------------------------------------
 
-    /** A load balancer that decides exactly by these settings, as in a simulation. */
+    /** Creates a load balancer that follows these settings exactly, as in a simulation. */
     public LoadBalancer create(LoadBalancerActions actions, long seed) {
         return create(actions, seed, discoveryIsPolled(), topology());
     }
 
     /**
-     * A load balancer over sockets: discovery is polled and carries no load probes whatever the settings say; peers are
-     * used only if messages can be sent.
+     * Creates a load balancer for use over sockets. Whatever the settings say, discovery is polled and upstreams are
+     * not probed for their load; peers are used only if the settings allow it and messages can be sent.
      */
     public LoadBalancer createForSockets(LoadBalancerActions actions, long seed, boolean canSendMessages) {
         return create(actions, seed, true, topology().overSockets(canSendMessages));
     }
 
     /**
-     * A load balancer over sockets that takes itself for the only sidecar, for the warm-up. Guards against one that
-     * keeps to its share of a fleet: of the warm-up's few upstreams it could use next to nothing.
+     * Creates a load balancer over sockets that acts as the only sidecar, for the warm-up. A load balancer that keeps
+     * to its share of a fleet could use hardly any of the warm-up's few upstreams.
      */
     public LoadBalancer createStandalone(LoadBalancerActions actions, long seed) {
         return create(actions, seed, true, topology().overSockets(false).standalone());
     }
 
-    /**
-     * What the settings ask for that is not supported over sockets, a line each: the field and what happens instead.
-     */
+    /** Returns a line for each setting that is not supported over sockets: the field and what happens instead. */
     public List<String> unsupportedOverSockets(boolean canSendMessages) {
         List<String> lines = new ArrayList<>();
         if (!discoveryIsPolled()) {
-            lines.add("settings.discovery: discovery is polled on sockets, whatever is set");
+            lines.add("settings.discovery: over sockets, discovery is always polled");
         }
         if (topology().probesLoad()) {
-            lines.add("settings.load-report.how: no probes on sockets; decides by own attempts");
+            lines.add("settings.load-report.how: no load probes over sockets; selects upstreams by its own attempts");
         }
         if (topology().sharesLoad() && !canSendMessages) {
-            lines.add("settings.allowed.peers: no peer_listen or no peers; decides by own attempts");
+            lines.add("settings.allowed.peers: no peer_listen or no peers; selects upstreams by its own attempts");
         }
         if (streamsPerConnection > 1) {
-            lines.add("settings.allowed.streams-per-conn: one request at a time on a connection on sockets");
+            lines.add("settings.allowed.streams-per-conn: over sockets, one request at a time on each connection");
         }
         return lines;
     }
 
     // ---- Request classes and tenants --------------------------------------------------------------------
 
-    /** Null for an unknown name. */
+    /** Returns the id of a request class; null for an unknown name. */
     public RequestClassId requestClass(String name) {
         return requestClassNames.id(name);
     }
 
+    /** Returns the request class of an id. */
     public RequestClass requestClass(RequestClassId id) {
         return config.requestClasses().get(id.value());
     }
 
-    /** In the order of the settings, which is that of their ids. */
+    /** Returns the request classes in the order of the settings, which is the order of their ids. */
     public List<RequestClass> requestClasses() {
         return List.copyOf(config.requestClasses());
     }
 
+    /** Returns the names of all request classes, in no particular order. */
     public Set<String> requestClassNames() {
         return requestClassNames.names();
     }
 
+    /** Returns the name of a request class. */
     public String name(RequestClassId id) {
         return requestClassNames.name(id);
     }
 
+    /** Whether the settings define any tenant. */
     public boolean hasTenants() {
         return !config.tenants().isEmpty();
     }
 
-    /** Null for an unknown name. */
+    /** Returns the id of a tenant; null for an unknown name. */
     public TenantId tenant(String name) {
         return tenantNames.id(name);
     }
 
-    /** The name of the first tenant; null if there is none. */
-    public String anyTenant() {
+    /** Returns the name of the first tenant; null if there is none. */
+    public String firstTenantName() {
         List<Tenant> tenants = config.tenants();
         return tenants.isEmpty() ? null : tenantNames.name(tenants.get(0).id());
     }
 
-    /** "none" for null. */
+    /** Returns the name of a tenant; "none" for null. */
     public String name(TenantId id) {
         return id == null ? "none" : tenantNames.name(id);
     }
 
-    /** A tenant's weight against others; 1 for null or if the settings give it no share. */
+    /** Returns a tenant's weight relative to other tenants; 1 for null or if the settings give the tenant no share. */
     public double weight(TenantId id) {
         double share = id == null ? 0 : config.tenants().get(id.value()).share();
         return share > 0 ? share : DEFAULT_TENANT_WEIGHT;
@@ -135,32 +137,32 @@
 
     // ---- Limits and topology ----------------------------------------------------------------------------
 
-    /** Where this sidecar stands among others, as the settings say it. */
+    /** Returns the place of this sidecar in its fleet, as the settings define it. */
     public Topology topology() {
         return config.topology();
     }
 
-    /** Whether the endpoint list has to be polled; else updates are pushed. */
+    /** Whether the endpoint list has to be polled; otherwise updates are pushed. */
     public boolean discoveryIsPolled() {
         return config.discovery().polled();
     }
 
-    /** Attempts that one connection may carry at once; at least 1. */
+    /** Returns how many attempts one connection may carry at once; at least 1. */
     public int streamsPerConnection() {
         return streamsPerConnection;
     }
 
-    /** The longest Retry-After, in seconds, that clients observe; 0 if they observe none. */
+    /** Returns the longest Retry-After, in seconds, that clients observe; 0 if they observe none. */
     public double maxRetryAfter() {
         return config.attemptRules().maxRetryAfter();
     }
 
-    /** Seconds; 0 for none. */
+    /** Returns the timeout, in seconds, for connecting to an upstream; 0 for none. */
     public double connectTimeout() {
         return connectTimeout;
     }
 
-    /** Seconds that an idle connection to an upstream is kept; 0 for no limit. */
+    /** Returns how long, in seconds, an idle connection to an upstream is kept; 0 for no limit. */
     public double connectionIdleTimeout() {
         return connectionIdleTimeout;
     }
--- a/core/src/main/java/portrelay/settings/SettingsParser.java
+++ b/core/src/main/java/portrelay/settings/SettingsParser.java
@@ -14,12 +14,12 @@
 import portrelay.model.ZoneId;
 
 /**
- * Reads the settings, field by field in a fixed order: the first invalid one is reported. A field that is left out has
- * its default, given where it is read.
+ * Reads the settings field by field in a fixed order and reports the first invalid field. The default of an absent
+ * field is given where the field is read.
  */
 final class SettingsParser {
 
-    /** What was read; timeouts are in seconds, 0 for none. */
+    /** The settings as read. Timeouts are in seconds; 0 means none. */
     record Result(
             LoadBalancerConfig config,
             NameIndex<RequestClassId> requestClassNames,
@@ -31,7 +31,7 @@
     private static final int MAX_SIDECARS = 1_000_000;
     private static final int MAX_STREAMS = 1_000_000;
     private static final int MAX_ATTEMPTS = 1_000;
-    // Above what any deployment has, and exact as a double.
+    // Larger than in any deployment, and exactly representable as a double.
     private static final double MAX_AMOUNT = 1e15;
     private static final double MAX_MICROS = 1e15;
     private static final double MICROS_PER_SECOND = 1e6;
@@ -45,7 +45,9 @@
     }
 
     /**
-     * Throws {@link InvalidSettingException} for the first field that is missing, of the wrong type or out of range.
+     * Reads the settings.
+     *
+     * @throws InvalidSettingException for the first field that is missing, of the wrong type or out of range
      */
     static Result parse(JsonFields root) throws InvalidSettingException {
         return new SettingsParser(root).parse();
@@ -103,7 +105,7 @@
 
     private static <I> void addName(JsonFields fields, NameIndex<I> names, I id) throws InvalidSettingException {
         if (!names.add(fields.string("name"), id)) {
-            throw fields.invalid("name", "a name of its own");
+            throw fields.invalid("name", "a unique name");
         }
     }
 
@@ -144,7 +146,7 @@
                 allowed.optionalBoolean("probes"));
     }
 
-    /** Null if none is set; where the settings list zones, it has to be one of them. */
+    /** Returns the sidecar's zone; null if none is set. If the settings list zones, it has to be one of them. */
     private ZoneId zone() throws InvalidSettingException {
         if (!root.has("zone")) {
             return null;
@@ -166,6 +168,7 @@
         };
     }
 
+    /** Reads how upstreams report their load. The columns are only checked to be strings. */
     private Topology.Reports reports() throws InvalidSettingException {
         if (!root.has("load-report")) {
             return Topology.Reports.SILENT;
@@ -201,11 +204,11 @@
         };
     }
 
-    private static double amount(JsonFields fields, String name, double absent) throws InvalidSettingException {
-        return fields.range(name, absent, 0, MAX_AMOUNT);
+    private static double amount(JsonFields fields, String name, double defaultValue) throws InvalidSettingException {
+        return fields.range(name, defaultValue, 0, MAX_AMOUNT);
     }
 
-    /** A duration that the settings give in microseconds, in seconds; 0 if absent. */
+    /** Returns in seconds a duration that the settings give in microseconds; 0 if absent. */
     private static double seconds(JsonFields fields, String name) throws InvalidSettingException {
         return fields.range(name, 0, 0, MAX_MICROS) / MICROS_PER_SECOND;
     }
--- a/core/src/main/java/portrelay/settings/SettingsSchema.java
+++ b/core/src/main/java/portrelay/settings/SettingsSchema.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * The names of all settings, for {@link Migration}, which rejects any other. A setting that {@link SettingsParser}
- * reads has to stand here too; MigrateNetTest fails if one does not. The two graces of {@code invariants} are the
- * platform's and read by nobody here, but a migration may carry them.
+ * Names of all settings, for {@link Migration}, which rejects any other name. Each setting that {@link SettingsParser}
+ * reads has to be listed here too; MigrateNetTest fails if one is missing. The two grace periods in {@code invariants}
+ * belong to the platform and are not read here, but a migration may carry them over.
  */
 final class SettingsSchema {
 
-    /** Settings that are objects, with the names of their fields. */
+    /** Settings that are objects, each with the names of its fields. */
     static final Map<String, List<String>> SECTIONS = Map.of(
             "allowed",
                     List.of(
--- a/core/src/main/java/portrelay/settings/package-info.java
+++ b/core/src/main/java/portrelay/settings/package-info.java
@@ -1,11 +1,11 @@
 /**
- * A configuration's settings: from a JSON tree to the records of {@code portrelay.model}.
- * {@link portrelay.settings.Settings} looks them up, {@code SettingsParser} reads them, {@code SettingsSchema} has the
- * names of the fields, which are those of the deployment's configuration files and never change.
- * {@link portrelay.settings.Migration} carries an old configuration over to another deployment.
+ * Reads a configuration's settings from a JSON tree into the records of {@code portrelay.model}.
+ * {@link portrelay.settings.Settings} gives access to them, {@code SettingsParser} reads them, and
+ * {@code SettingsSchema} lists the names of the fields, which are fixed by the deployments' configuration files and
+ * never change. {@link portrelay.settings.Migration} carries an old configuration over to another deployment.
  *
- * <p>Trees are maps, lists, strings, doubles and booleans, as a JSON parser returns them; they are never changed. In
- * the files durations are microseconds; here, and wherever else they go, they are seconds as {@code double}. All types
- * but {@code Migration} are immutable. May know {@code portrelay.model} and {@code portrelay.policy}.
+ * <p>Trees consist of maps, lists, strings, doubles and booleans, as a JSON parser returns them, and are never changed.
+ * Durations are microseconds in the files, and seconds as {@code double} here and everywhere else. All types except
+ * {@code Migration} are immutable. May depend on {@code portrelay.model} and {@code portrelay.policy} only.
  */
 package portrelay.settings;
--- a/core/src/main/java/portrelay/shutdown/Shutdown.java
+++ b/core/src/main/java/portrelay/shutdown/Shutdown.java
@@ -3,32 +3,34 @@
 import portrelay.model.TransitionTable;
 
 /**
- * Owns the graceful shutdown: the one place that says whether connections and requests are still accepted, by when each
- * request is answered and when the process exits. Has no clock: its owner calls the events with their times, on one
- * thread, and {@link #wakeUp} when it was asked to. Signals after the first change nothing.
+ * State machine of the graceful shutdown. The only place that decides whether connections and requests are still
+ * accepted, by when each request has to be answered and when the process exits.
+ *
+ * <p>Has no clock: its owner calls the event methods with the current time, all on one thread, and calls
+ * {@link #wakeUp} at the times requested by {@link ShutdownActions#wakeUpAt}. Signals after the first have no effect.
  */
 public final class Shutdown {
 
-    /** How far the shutdown is; a later phase is never left for an earlier one. */
+    /** Progress of the shutdown; it never returns to an earlier phase. */
     public enum Phase {
-        /** No signal yet. */
+        /** No signal received yet. */
         SERVING,
-        /** The signal has come: open connections are served as before. */
+        /** The signal was received; open connections are served as before. */
         DRAINING,
-        /** Requests that are read are rejected; forwarded ones still have time for their answers. */
-        REFUSING,
-        /** Every request has its final answer, or gets it at once; connections are closing. */
+        /** Requests read from now on are rejected; forwarded requests still have time for their answers. */
+        REJECTING,
+        /** Every request has its final answer or gets it immediately; connections are closing. */
         CLOSING,
-        /** No client is connected any more, or the time is over. */
+        /** No client is connected any more, or the time budget is used up. */
         ENDED
     }
 
     private enum Input {
-        SIGNALLED,
+        SIGNAL_RECEIVED,
         FORWARDING_ENDED,
         ANSWERS_DUE,
-        CLIENTS_GONE,
-        TIME_OVER
+        NO_CLIENTS_CONNECTED,
+        END_DUE
     }
 
     private static final class State extends TransitionTable.Subject<Phase> {
@@ -39,35 +41,35 @@
 
     private static final TransitionTable<Phase, Input, Shutdown, State> TABLE = new TransitionTable<
                     Phase, Input, Shutdown, State>(Phase.class, Input.class)
-            .row(Phase.SERVING, Input.SIGNALLED, Phase.DRAINING, Shutdown::drain)
-            .row(Phase.DRAINING, Input.FORWARDING_ENDED, Phase.REFUSING, Shutdown::refuseNew)
-            .row(Phase.DRAINING, Input.CLIENTS_GONE, Phase.ENDED, Shutdown::end)
-            .row(Phase.DRAINING, Input.TIME_OVER, Phase.ENDED, Shutdown::end)
-            .row(Phase.REFUSING, Input.ANSWERS_DUE, Phase.CLOSING, Shutdown::answerOpen)
-            .row(Phase.REFUSING, Input.CLIENTS_GONE, Phase.ENDED, Shutdown::end)
-            .row(Phase.REFUSING, Input.TIME_OVER, Phase.ENDED, Shutdown::end)
-            .row(Phase.CLOSING, Input.CLIENTS_GONE, Phase.ENDED, Shutdown::end)
-            .row(Phase.CLOSING, Input.TIME_OVER, Phase.ENDED, Shutdown::end);
-
-    /** The process may be held for 0.15 s at a time; an event loop that is later than this has too much to do. */
+            .row(Phase.SERVING, Input.SIGNAL_RECEIVED, Phase.DRAINING, Shutdown::drain)
+            .row(Phase.DRAINING, Input.FORWARDING_ENDED, Phase.REJECTING, Shutdown::rejectNewRequests)
+            .row(Phase.DRAINING, Input.NO_CLIENTS_CONNECTED, Phase.ENDED, Shutdown::end)
+            .row(Phase.DRAINING, Input.END_DUE, Phase.ENDED, Shutdown::end)
+            .row(Phase.REJECTING, Input.ANSWERS_DUE, Phase.CLOSING, Shutdown::answerOpenRequests)
+            .row(Phase.REJECTING, Input.NO_CLIENTS_CONNECTED, Phase.ENDED, Shutdown::end)
+            .row(Phase.REJECTING, Input.END_DUE, Phase.ENDED, Shutdown::end)
+            .row(Phase.CLOSING, Input.NO_CLIENTS_CONNECTED, Phase.ENDED, Shutdown::end)
+            .row(Phase.CLOSING, Input.END_DUE, Phase.ENDED, Shutdown::end);
+
+    /** The process may be paused for 0.15 s at a time; an event loop that lags by more than this is overloaded. */
     private static final double MAX_FORWARDING_LAG_SECONDS = 0.2;
 
     private final double maxDeadline;
     private final ShutdownActions actions;
     private final State state = new State();
-    /** Null while the process serves. */
+    /** Null until the signal is received. */
     private ShutdownBudget budget;
 
     private boolean isListening = true;
-    /** Whether no client can have connected, so that the process need not wait for one. */
+    /** Whether no client can ever have connected, so that the process need not wait for one. */
     private boolean hasNeverListened;
-    /** Whether a successor serves already. */
+    /** Whether a successor already serves. */
     private boolean isHandingOver;
-    /** Whether the event loop has been too late to forward what comes and answer it by the kill. */
+    /** Whether the event loop has lagged too much to forward further requests and answer them before SIGKILL. */
     private boolean hasFallenBehind;
 
     /**
-     * The shutdown of a process that serves.
+     * Creates the shutdown of a serving process.
      *
      * @param maxDeadline the longest deadline of all request classes, in seconds
      */
@@ -76,7 +78,7 @@
         this.actions = actions;
     }
 
-    /** For a listener that is never shut down, such as that of the warm-up. */
+    /** Returns an instance for a listener that is never shut down, such as the one of the warm-up. */
     public static Shutdown never() {
         return new Shutdown(0, null);
     }
@@ -84,14 +86,15 @@
     // ---- Events -----------------------------------------------------------------------------------------
 
     /**
-     * SIGTERM was sent at {@code earliestSignal} or later, and received at {@code receivedAt}; only the first counts.
+     * Handles SIGTERM, which was sent at {@code earliestSignal} or later and received at {@code receivedAt}. Only the
+     * first signal has an effect.
      */
-    public void signalled(double now, double earliestSignal, double receivedAt) {
+    public void signalReceived(double now, double earliestSignal, double receivedAt) {
         if (state.state() != Phase.SERVING) {
             return;
         }
         budget = ShutdownBudget.of(earliestSignal, receivedAt, maxDeadline);
-        TABLE.step(this, state, Input.SIGNALLED);
+        TABLE.step(this, state, Input.SIGNAL_RECEIVED);
         actions.wakeUpAt(budget.listenUntil());
         actions.wakeUpAt(budget.forwardUntil());
         actions.wakeUpAt(budget.answerBy());
@@ -99,8 +102,8 @@
         wakeUp(now);
     }
 
-    /** A successor listens at the same address; without a signal before, nothing happens. */
-    public void successorServes() {
+    /** Handles the start of a successor that listens at the same address; has no effect before the signal. */
+    public void successorStarted() {
         if (budget == null || isHandingOver || state.state() == Phase.ENDED) {
             return;
         }
@@ -109,13 +112,13 @@
         actions.handOver();
     }
 
-    /** The process has never listened, so no client can come. */
-    public void neverListened() {
+    /** Records that the process has never listened, so that no client can connect. */
+    public void listenerNeverStarted() {
         isListening = false;
         hasNeverListened = true;
     }
 
-    /** A requested time may have come: does all that is due by now, in its order, however late. */
+    /** Performs every step that is due at {@code now}, in order, however late the call is. */
     public void wakeUp(double now) {
         if (budget == null) {
             return;
@@ -130,60 +133,61 @@
             TABLE.step(this, state, Input.ANSWERS_DUE);
         }
         if (now >= budget.endBy()) {
-            TABLE.step(this, state, Input.TIME_OVER);
+            TABLE.step(this, state, Input.END_DUE);
         }
     }
 
     /**
-     * The event loop runs so late. From the first time on that this is more than a hold explains, what is read is
-     * rejected: forwarding costs many times as much, and what can't be read by the kill is lost.
+     * Reports the event loop's current lag. Once the lag exceeds what a pause of the process explains, all requests
+     * read from then on are rejected: forwarding a request costs many times as much as rejecting it, and requests that
+     * can't be read before SIGKILL are lost.
      */
-    public void loopLagged(double seconds) {
+    public void loopLagMeasured(double seconds) {
         if (budget != null && seconds > MAX_FORWARDING_LAG_SECONDS) {
             hasFallenBehind = true;
         }
     }
 
-    /** No client is connected; while the process listens, or may have just stopped, another may come. */
-    public void noClients(double now) {
+    /** Reports that no client is connected, which ends the shutdown unless another client may still connect. */
+    public void noClientsConnected(double now) {
         if (budget != null && !isListening && (isHandingOver || hasNeverListened || now >= budget.stayUntil())) {
-            TABLE.step(this, state, Input.CLIENTS_GONE);
+            TABLE.step(this, state, Input.NO_CLIENTS_CONNECTED);
         }
     }
 
     // ---- Queries ----------------------------------------------------------------------------------------
 
-    /** How far the shutdown is. */
+    /** Returns the current phase. */
     public Phase phase() {
         return state.state();
     }
 
-    /** Whether the signal has come. */
+    /** Whether the signal was received. */
     public boolean hasBegun() {
         return state.state() != Phase.SERVING;
     }
 
-    /** Whether a request that is read now may be forwarded; by the time, as {@link #wakeUp} may be late. */
+    /** Whether a request read now may be forwarded. Compares the time too, as {@link #wakeUp} may be called late. */
     public boolean mayForward(double now) {
         return budget == null || state.state() == Phase.DRAINING && now < budget.forwardUntil() && !hasFallenBehind;
     }
 
-    /** Whether requests are rejected because the event loop was too late. */
+    /** Whether requests are rejected because the event loop lagged too much. */
     public boolean hasFallenBehind() {
         return hasFallenBehind;
     }
 
-    /** Whether a connection without an open request is closed. */
+    /** Whether connections without an open request are to be closed. */
     public boolean closesConnections() {
-        return isHandingOver || state.state().compareTo(Phase.REFUSING) >= 0;
+        return isHandingOver || state.state().compareTo(Phase.REJECTING) >= 0;
     }
 
-    /** When every open request has its final answer; infinite while the process serves. */
+    /** Returns the time by which every open request has its final answer; infinite before the signal. */
     public double answerDeadline() {
         return budget == null ? Double.POSITIVE_INFINITY : budget.answerBy();
     }
 
-    /** Null while the process serves. */
+    /** Returns the times of the shutdown; null before the signal. */
     public ShutdownBudget budget() {
         return budget;
     }
@@ -195,13 +199,13 @@
         return null;
     }
 
-    private Input refuseNew(State unused) {
-        actions.refuseNew();
+    private Input rejectNewRequests(State unused) {
+        actions.rejectNewRequests();
         return null;
     }
 
-    private Input answerOpen(State unused) {
-        actions.answerOpen();
+    private Input answerOpenRequests(State unused) {
+        actions.answerOpenRequests();
         return null;
     }
 
--- a/core/src/main/java/portrelay/shutdown/ShutdownActions.java
+++ b/core/src/main/java/portrelay/shutdown/ShutdownActions.java
@@ -1,29 +1,29 @@
 package portrelay.shutdown;
 
 /**
- * What a shutdown does to the process. Each is called at most once, but for {@link #wakeUpAt}, on the event loop's
- * thread.
+ * Steps of a shutdown that the process carries out. Called on the event loop's thread, each at most once except
+ * {@link #wakeUpAt}.
  */
 public interface ShutdownActions {
 
-    /** The shutdown has begun: health checks report it from now on. */
+    /** Begins the shutdown: health checks report it from now on. */
     void drain();
 
-    /** Accepts the connections that are pending, then no more. */
+    /** Accepts the connections that are already pending, then stops listening. */
     void stopListening();
 
-    /** A successor serves: closes idle connections now and the others after their next answer. */
+    /** Closes idle connections now and all others after their next answer, as a successor serves. */
     void handOver();
 
-    /** Rejects queued requests and whatever is read from now on; closes idle connections. */
-    void refuseNew();
+    /** Rejects queued requests and all requests read from now on; closes idle connections. */
+    void rejectNewRequests();
 
-    /** Gives each open request its final answer now. */
-    void answerOpen();
+    /** Sends the final answer to each open request now. */
+    void answerOpenRequests();
 
-    /** The process may exit. */
+    /** Lets the process exit. */
     void end();
 
-    /** Asks for one call of {@link Shutdown#wakeUp} at or after the time. */
+    /** Requests one call of {@link Shutdown#wakeUp} at or after the time. */
     void wakeUpAt(double time);
 }
--- a/core/src/test/java/portrelay/settings/MigrationTest.java
+++ b/core/src/test/java/portrelay/settings/MigrationTest.java
@@ -11,15 +11,16 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Tests which invalid field of a shape is reported. */
 class MigrationTest {
 
-    /** Guards against an error that names another of two wrong sections from one start of the JVM to the next. */
+    /** Guards against the reported section varying between starts of the JVM when several sections are invalid. */
     @Test
-    void ofTwoWrongSectionsTheFirstInTheFileIsNamed() {
+    void firstInvalidSectionInFileOrderIsReported() {
         List<String> sections = new ArrayList<>(List.of("allowed", "invariants", "load-report"));
         for (int rotation = 0; rotation < sections.size(); rotation++) {
             Map<String, Object> settings = new LinkedHashMap<>();
-            sections.forEach(each -> settings.put(each, Map.of("nonsense", 1.0)));
+            sections.forEach(section -> settings.put(section, Map.of("nonsense", 1.0)));
             InvalidSettingException thrown = assertThrows(
                     InvalidSettingException.class, () -> Migration.of(Map.of(), Map.of("settings", settings)));
             String first = sections.get(0);
--- a/core/src/test/java/portrelay/settings/SettingsTest.java
+++ b/core/src/test/java/portrelay/settings/SettingsTest.java
@@ -16,7 +16,10 @@
 import portrelay.model.TenantId;
 import portrelay.model.Topology;
 
-/** What each setting becomes, and the message for each that is missing or wrong: operators read it as one line. */
+/**
+ * Tests the value read from each setting, and the one-line message that operators get for each missing or invalid
+ * setting.
+ */
 class SettingsTest {
 
     private static Map<String, Object> with(Map<String, Object> fields, String name, Object value) {
@@ -135,7 +138,7 @@
         assertEquals(Set.of("read", "write"), settings.requestClassNames());
         assertNull(settings.requestClass("none"));
         assertTrue(settings.hasTenants());
-        assertEquals("gold", settings.anyTenant());
+        assertEquals("gold", settings.firstTenantName());
         assertEquals("gold", settings.name(settings.tenant("gold")));
         assertEquals("none", settings.name((TenantId) null));
         assertEquals(0.75, settings.weight(settings.tenant("gold")));
@@ -156,11 +159,11 @@
     }
 
     @Test
-    void whatIsLeftOutHasItsDefault() throws InvalidSettingException {
+    void absentSettingsHaveDefaults() throws InvalidSettingException {
         Settings settings = parse(Map.of("allowed", Map.of(), "invariants", Map.of()));
         assertEquals(List.of(), settings.requestClasses());
         assertFalse(settings.hasTenants());
-        assertNull(settings.anyTenant());
+        assertNull(settings.firstTenantName());
         assertEquals(0, settings.maxRetryAfter());
         assertEquals(0, settings.connectTimeout());
         assertEquals(1, settings.streamsPerConnection());
@@ -171,11 +174,11 @@
     }
 
     @Test
-    void namesTheFieldThatIsWrong() {
+    void invalidFieldIsReported() {
         assertInvalid("settings.classes: expected an array", "classes", 1.0);
         assertInvalid("settings.classes[0]: expected an object", "classes", List.of("read"));
         assertInvalid("settings.classes[0].name: expected a string", "classes", List.of(with(READ, "name", null)));
-        assertInvalid("settings.classes[1].name: expected a name of its own", "classes", List.of(READ, READ));
+        assertInvalid("settings.classes[1].name: expected a unique name", "classes", List.of(READ, READ));
         assertInvalid(
                 "settings.classes[0].effect: expected read_like, idempotency_key or non_idempotent",
                 "classes",
@@ -188,7 +191,7 @@
                 "settings.classes[0].aim-us: expected a number from 0 to 1000000000000000",
                 "classes",
                 List.of(with(READ, "aim-us", -1.0)));
-        assertInvalid("settings.tenants[1].name: expected a name of its own", "tenants", List.of(GOLD, GOLD));
+        assertInvalid("settings.tenants[1].name: expected a unique name", "tenants", List.of(GOLD, GOLD));
         assertInvalid("settings.allowed: expected an object", "allowed", null);
         assertInvalid("settings.invariants: expected an object", "invariants", List.of());
         assertInvalid(
@@ -220,11 +223,11 @@
                 "settings.load-report.how: expected silent, piggyback or pull", "load-report", Map.of("how", "push"));
     }
 
-    /** Operators mend one field after the other: the order in which they are named stays. */
+    /** Operators fix one reported field after the other, so the order of the reports must not change. */
     @Test
-    void namesTheFirstOfSeveralWrongFields() {
+    void firstOfSeveralInvalidFieldsIsReported() {
         Map<String, Object> settings = new HashMap<>(SETTINGS);
-        String[][] wrong = {
+        String[][] invalidFields = {
             {"weights", "settings.weights: expected silent, nominal, rough or live"},
             {"zone", "settings.zone: expected a string"},
             {"me", "settings.me: expected a number"},
@@ -235,16 +238,16 @@
             {"tenants", "settings.tenants: expected an array"},
             {"classes", "settings.classes: expected an array"}
         };
-        for (String[] each : wrong) {
-            settings.put(each[0], each[0].equals("weights") ? "loud" : true);
+        for (String[] fieldAndMessage : invalidFields) {
+            settings.put(fieldAndMessage[0], fieldAndMessage[0].equals("weights") ? "loud" : true);
             InvalidSettingException thrown =
-                    assertThrows(InvalidSettingException.class, () -> parse(settings), each[0]);
-            assertEquals(each[1], thrown.getMessage());
+                    assertThrows(InvalidSettingException.class, () -> parse(settings), fieldAndMessage[0]);
+            assertEquals(fieldAndMessage[1], thrown.getMessage());
         }
     }
 
     @Test
-    void anUnknownNameIsNamedWithThoseThatAreKnown() throws InvalidSettingException {
+    void unknownFieldIsReportedWithKnownNames() throws InvalidSettingException {
         JsonFields fields = JsonFields.of(Map.of("lisen", "x"), "door");
         InvalidSettingException thrown =
                 assertThrows(InvalidSettingException.class, () -> fields.rejectUnknown("listen", "seed"));
--- a/core/src/test/java/portrelay/shutdown/ShutdownBudgetTest.java
+++ b/core/src/test/java/portrelay/shutdown/ShutdownBudgetTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** The times of a shutdown against the platform's protocol. */
+/** Checks the times of a shutdown against the platform's shutdown protocol. */
 class ShutdownBudgetTest {
 
     private static final double MAX_PAUSE_SECONDS = 0.15;
@@ -16,28 +16,34 @@
     private static final double TOLERANCE = 1e-9;
 
     @Test
-    void countsTheKillFromTheEarliestSignalAndThreeSecondsAtMost() {
+    void killTimeIsCountedFromEarliestSignalWithAtMostThreeSecondsOfDeadline() {
         assertEquals(10 + 1 + 0.7, ShutdownBudget.of(10, 10.2, 1).killAt(), TOLERANCE);
         assertEquals(10 + 3 + 0.7, ShutdownBudget.of(10, 10, 8).killAt(), TOLERANCE);
     }
 
     @Property(tries = 500, seed = "20261202")
-    void isInOrderForEveryDeadlineAndDelayOfTheSignal(
+    void timesAreInOrderForEveryDeadlineAndSignalDelay(
             @ForAll @DoubleRange(min = 0.05, max = 10) double deadline,
             @ForAll @DoubleRange(min = 0, max = 0.3) double delay) {
         double receivedAt = 100;
         double signalAt = receivedAt - delay;
         ShutdownBudget budget = ShutdownBudget.of(signalAt, receivedAt, deadline);
         double counted = Math.min(3, deadline);
-        assertTrue(budget.forwardUntil() < budget.answerBy(), "a request may be forwarded with no time for its answer");
+        assertTrue(
+                budget.forwardUntil() < budget.answerBy(),
+                "a request may be forwarded with no time left for its answer");
         assertTrue(
                 budget.answerBy() + 3 * MAX_PAUSE_SECONDS < budget.killAt(),
-                "three pauses reach from the last answer to the kill");
-        assertTrue(budget.answerBy() > signalAt + counted, "what was taken before the signal is cut short");
-        assertTrue(budget.answerBy() < budget.endBy() && budget.endBy() < budget.killAt(), "ends before it is killed");
+                "three pauses of the process last from the final answer until SIGKILL");
+        assertTrue(
+                budget.answerBy() > signalAt + counted,
+                "a request accepted before the signal has less than its deadline");
+        assertTrue(
+                budget.answerBy() < budget.endBy() && budget.endBy() < budget.killAt(),
+                "the last answer, the end and SIGKILL are not in this order");
         assertTrue(
                 budget.listenUntil() > Math.min(signalAt + NEW_CONNECTIONS_SECONDS, budget.endBy() - TOLERANCE),
-                "refuses connections that still come");
-        assertTrue(budget.stayUntil() <= budget.endBy(), "stays beyond its end");
+                "stops listening while the platform still routes new connections here");
+        assertTrue(budget.stayUntil() <= budget.endBy(), "waits for clients beyond the end of the shutdown");
     }
 }
--- a/core/src/test/java/portrelay/shutdown/ShutdownTest.java
+++ b/core/src/test/java/portrelay/shutdown/ShutdownTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of a shutdown's steps, late wake-ups, further signals, and all short orders of its events. */
+/** Tests the order of a shutdown's steps, late wake-ups, repeated signals, and all short sequences of events. */
 class ShutdownTest {
 
     private static final double DEADLINE_SECONDS = 1;
@@ -34,12 +34,12 @@
         }
 
         @Override
-        public void refuseNew() {
+        public void rejectNewRequests() {
             steps.add("refuse");
         }
 
         @Override
-        public void answerOpen() {
+        public void answerOpenRequests() {
             steps.add("answer");
         }
 
@@ -50,28 +50,28 @@
 
         @Override
         public void wakeUpAt(double time) {
-            // Each test wakes it up itself.
+            // The tests call wakeUp themselves.
         }
     }
 
     private final RecordingActions actions = new RecordingActions();
     private final Shutdown shutdown = new Shutdown(DEADLINE_SECONDS, actions);
 
-    private void signalled() {
-        shutdown.signalled(SIGNAL_AT, SIGNAL_AT, SIGNAL_AT);
+    private void signalReceived() {
+        shutdown.signalReceived(SIGNAL_AT, SIGNAL_AT, SIGNAL_AT);
     }
 
     @Test
     void forwardsThenRejectsThenAnswersThenEnds() {
         assertTrue(shutdown.mayForward(SIGNAL_AT));
         assertEquals(Double.POSITIVE_INFINITY, shutdown.answerDeadline());
-        signalled();
+        signalReceived();
         assertEquals(Shutdown.Phase.DRAINING, shutdown.phase());
         assertTrue(shutdown.mayForward(SIGNAL_AT));
         assertFalse(shutdown.closesConnections());
         shutdown.wakeUp(BUDGET.listenUntil());
         shutdown.wakeUp(BUDGET.forwardUntil());
-        assertEquals(Shutdown.Phase.REFUSING, shutdown.phase());
+        assertEquals(Shutdown.Phase.REJECTING, shutdown.phase());
         assertTrue(shutdown.closesConnections());
         shutdown.wakeUp(BUDGET.answerBy());
         assertEquals(Shutdown.Phase.CLOSING, shutdown.phase());
@@ -80,84 +80,86 @@
     }
 
     @Test
-    void forwardsNothingThatIsReadTooLateThoughTheWakeUpIsLate() {
-        signalled();
+    void doesNotForwardAfterForwardUntilEvenIfWakeUpIsLate() {
+        signalReceived();
         assertTrue(shutdown.mayForward(BUDGET.forwardUntil() - 0.001));
         assertFalse(shutdown.mayForward(BUDGET.forwardUntil()));
         assertEquals(Shutdown.Phase.DRAINING, shutdown.phase());
     }
 
-    /** A process may be held for 0.15 s: that alone is no reason to reject. */
+    /** The process may be paused for 0.15 s; a lag of that length alone must not cause rejections. */
     @Test
-    void forwardsNothingMoreOnceTheLoopIsLaterThanAHold() {
-        shutdown.loopLagged(1);
-        signalled();
-        shutdown.loopLagged(0.15);
-        assertTrue(shutdown.mayForward(SIGNAL_AT), "what was late before the signal, or held, still forwards");
-        shutdown.loopLagged(0.25);
-        shutdown.loopLagged(0);
+    void stopsForwardingOnceLoopLagExceedsAPause() {
+        shutdown.loopLagMeasured(1);
+        signalReceived();
+        shutdown.loopLagMeasured(0.15);
+        assertTrue(
+                shutdown.mayForward(SIGNAL_AT),
+                "lag before the signal, or lag no longer than a pause, must not stop forwarding");
+        shutdown.loopLagMeasured(0.25);
+        shutdown.loopLagMeasured(0);
         assertFalse(shutdown.mayForward(SIGNAL_AT));
-        assertFalse(shutdown.closesConnections(), "open connections stay open");
+        assertFalse(shutdown.closesConnections(), "open connections must stay open");
         assertEquals(List.of("drain"), actions.steps);
     }
 
     @Test
-    void oneLateWakeUpDoesAllThatIsDueInItsOrder() {
-        signalled();
+    void oneLateWakeUpPerformsAllDueStepsInOrder() {
+        signalReceived();
         shutdown.wakeUp(BUDGET.answerBy() + 0.01);
         assertEquals(List.of("drain", "stop listening", "refuse", "answer"), actions.steps);
     }
 
-    /** The event loop comes to the signal after SIGKILL was due. */
+    /** The event loop handles the signal only when SIGKILL is already due. */
     @Test
-    void aSignalThatIsReceivedTooLateAnswersAllAndEndsAtOnce() {
-        shutdown.signalled(BUDGET.killAt(), SIGNAL_AT, SIGNAL_AT);
+    void signalHandledAfterKillTimeAnswersAllAndEndsImmediately() {
+        shutdown.signalReceived(BUDGET.killAt(), SIGNAL_AT, SIGNAL_AT);
         assertEquals(List.of("drain", "stop listening", "refuse", "answer", "end"), actions.steps);
     }
 
     @Test
-    void onlyTheFirstSignalCounts() {
-        signalled();
-        shutdown.signalled(SIGNAL_AT + 0.5, SIGNAL_AT + 0.5, SIGNAL_AT + 0.5);
+    void onlyFirstSignalHasAnEffect() {
+        signalReceived();
+        shutdown.signalReceived(SIGNAL_AT + 0.5, SIGNAL_AT + 0.5, SIGNAL_AT + 0.5);
         assertEquals(BUDGET, shutdown.budget());
         assertEquals(List.of("drain"), actions.steps);
     }
 
     @Test
-    void staysWithoutClientsWhileOneMayStillCome() {
-        signalled();
-        shutdown.noClients(SIGNAL_AT + 0.3);
+    void staysWithoutClientsWhileOneMayStillConnect() {
+        signalReceived();
+        shutdown.noClientsConnected(SIGNAL_AT + 0.3);
         shutdown.wakeUp(BUDGET.listenUntil());
-        shutdown.noClients(BUDGET.listenUntil());
+        shutdown.noClientsConnected(BUDGET.listenUntil());
         assertEquals(Shutdown.Phase.DRAINING, shutdown.phase());
-        shutdown.noClients(BUDGET.stayUntil());
+        shutdown.noClientsConnected(BUDGET.stayUntil());
         assertEquals(Shutdown.Phase.ENDED, shutdown.phase());
     }
 
     @Test
-    void endsAtOnceIfItHasNeverListened() {
-        shutdown.neverListened();
-        signalled();
-        shutdown.noClients(SIGNAL_AT);
+    void endsImmediatelyIfItHasNeverListened() {
+        shutdown.listenerNeverStarted();
+        signalReceived();
+        shutdown.noClientsConnected(SIGNAL_AT);
         assertEquals(List.of("drain", "end"), actions.steps);
     }
 
     @Test
-    void aSuccessorTakesTheAddressAndOpenConnectionsAreServed() {
-        signalled();
-        shutdown.successorServes();
-        shutdown.successorServes();
+    void stopsListeningForSuccessorAndServesOpenConnections() {
+        signalReceived();
+        shutdown.successorStarted();
+        shutdown.successorStarted();
         assertTrue(shutdown.closesConnections());
-        assertTrue(shutdown.mayForward(SIGNAL_AT + 0.1), "open connections are still served");
-        shutdown.noClients(SIGNAL_AT + 0.1);
+        assertTrue(shutdown.mayForward(SIGNAL_AT + 0.1), "requests on open connections must still be forwarded");
+        shutdown.noClientsConnected(SIGNAL_AT + 0.1);
         assertEquals(List.of("drain", "stop listening", "hand over", "end"), actions.steps);
     }
 
     @Test
-    void aSuccessorBeforeAnySignalChangesNothing() {
-        shutdown.successorServes();
+    void successorBeforeSignalHasNoEffect() {
+        shutdown.successorStarted();
         shutdown.wakeUp(SIGNAL_AT);
-        shutdown.noClients(SIGNAL_AT);
+        shutdown.noClientsConnected(SIGNAL_AT);
         assertEquals(List.of(), actions.steps);
         assertFalse(shutdown.hasBegun());
     }
@@ -165,38 +167,40 @@
     private static final int EVENT_KINDS = 8;
     private static final int HISTORY_LENGTH = 6;
 
-    private static void event(Shutdown on, int kind) {
+    private static void applyEvent(Shutdown shutdown, int kind) {
         switch (kind) {
-            case 0 -> on.signalled(SIGNAL_AT, SIGNAL_AT, SIGNAL_AT);
-            case 1 -> on.successorServes();
-            case 2 -> on.noClients(BUDGET.stayUntil());
-            case 3 -> on.wakeUp(SIGNAL_AT);
-            case 4 -> on.wakeUp(BUDGET.listenUntil());
-            case 5 -> on.wakeUp(BUDGET.forwardUntil());
-            case 6 -> on.wakeUp(BUDGET.answerBy());
-            default -> on.wakeUp(BUDGET.endBy());
+            case 0 -> shutdown.signalReceived(SIGNAL_AT, SIGNAL_AT, SIGNAL_AT);
+            case 1 -> shutdown.successorStarted();
+            case 2 -> shutdown.noClientsConnected(BUDGET.stayUntil());
+            case 3 -> shutdown.wakeUp(SIGNAL_AT);
+            case 4 -> shutdown.wakeUp(BUDGET.listenUntil());
+            case 5 -> shutdown.wakeUp(BUDGET.forwardUntil());
+            case 6 -> shutdown.wakeUp(BUDGET.answerBy());
+            default -> shutdown.wakeUp(BUDGET.endBy());
         }
     }
 
-    /** Every order of six events, each of which may come again: 262,144 histories. */
+    /** Tries every sequence of six events out of eight kinds, with repetitions: 262,144 histories. */
     @Test
-    void inNoOrderOfEventsIsAnythingDoneTwiceOrAfterTheEnd() {
+    void noEventSequenceRepeatsAStepOrReturnsToAnEarlierPhase() {
         int histories = (int) Math.pow(EVENT_KINDS, HISTORY_LENGTH);
         for (int history = 0; history < histories; history++) {
             RecordingActions recorded = new RecordingActions();
-            Shutdown one = new Shutdown(DEADLINE_SECONDS, recorded);
+            Shutdown testedShutdown = new Shutdown(DEADLINE_SECONDS, recorded);
             Shutdown.Phase before = Shutdown.Phase.SERVING;
             for (int i = 0, rest = history; i < HISTORY_LENGTH; i++, rest /= EVENT_KINDS) {
-                event(one, rest % EVENT_KINDS);
-                assertTrue(one.phase().compareTo(before) >= 0, "goes back");
-                before = one.phase();
-                assertEquals(before == Shutdown.Phase.SERVING, recorded.steps.isEmpty(), "acts before the signal");
+                applyEvent(testedShutdown, rest % EVENT_KINDS);
+                assertTrue(testedShutdown.phase().compareTo(before) >= 0, "returned to an earlier phase");
+                before = testedShutdown.phase();
+                assertEquals(before == Shutdown.Phase.SERVING, recorded.steps.isEmpty(), "acted before the signal");
             }
             assertEquals(
-                    recorded.steps.size(), recorded.steps.stream().distinct().count(), "twice: " + recorded.steps);
+                    recorded.steps.size(),
+                    recorded.steps.stream().distinct().count(),
+                    "a step was done twice: " + recorded.steps);
             int refuse = recorded.steps.indexOf("refuse");
             int answer = recorded.steps.indexOf("answer");
-            assertTrue(answer < 0 || refuse >= 0 && refuse < answer, "answers before it rejects: " + recorded.steps);
+            assertTrue(answer < 0 || refuse >= 0 && refuse < answer, "answered before it rejected: " + recorded.steps);
             boolean ended = before == Shutdown.Phase.ENDED;
             assertEquals(ended, recorded.steps.contains("end"));
         }
--- a/daemon/src/main/java/portrelay/cli/MigrateCommand.java
+++ b/daemon/src/main/java/portrelay/cli/MigrateCommand.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 import portrelay.settings.Migration;
@@ -46,7 +46,7 @@
             byte[] old = ConfigCommand.readFile("--config", configFile);
             checkParses("--config " + configFile, old);
             Migration.Result result = migrate(old, ConfigCommand.readFile("--shape", shapeFile));
-            byte[] json = Tree.write(result.config());
+            byte[] json = JsonTree.write(result.config());
             checkParses("--shape " + shapeFile, json);
             if (dryRun) {
                 System.out.write(json);
@@ -71,7 +71,7 @@
 
     private Migration.Result migrate(byte[] old, byte[] shapeJson) throws InvalidSettingException {
         try {
-            return Migration.of((Map<?, ?>) Tree.parse(old), Tree.parse(shapeJson));
+            return Migration.of((Map<?, ?>) JsonTree.parse(old), JsonTree.parse(shapeJson));
         } catch (IOException e) {
             throw new InvalidSettingException("--shape " + shapeFile, "well-formed JSON, but " + firstLine(e));
         } catch (InvalidSettingException e) {
--- a/daemon/src/main/java/portrelay/json/Tree.java
+++ b/daemon/src/main/java/portrelay/json/JsonTree.java
@@ -14,26 +14,31 @@
 import java.util.Map;
 
 /**
- * A JSON value as {@link Map} (in the order of the text), {@link List}, {@link String}, {@link Double}, {@link Boolean}
- * or null; for documents that are read seldom and as a whole.
+ * Reads and writes JSON values as a tree of {@link Map} (in the order of the text), {@link List}, {@link String},
+ * {@link Double}, {@link Boolean} and null. Intended for documents that are read rarely and as a whole.
  */
-public final class Tree {
+public final class JsonTree {
 
-    /** Doubles hold every whole number below it exactly; a larger one is written as a double. */
+    /** Doubles represent every whole number below this exactly; larger numbers are written as doubles. */
     private static final double MAX_WHOLE_NUMBER = 1e15;
 
-    private Tree() {}
+    private JsonTree() {}
 
     /**
-     * Reads a document of one value.
+     * Parses a document that consists of one value.
      *
-     * @throws IOException where it is not well-formed, or more than one value
+     * @throws IOException if the document is not well-formed or has more than one value
      */
     public static Object parse(byte[] json) throws IOException {
         return parse(new JsonFactory(), json);
     }
 
-    /** As {@link #parse}, but a name that stands twice in one object is an error: one of the two would go unnoticed. */
+    /**
+     * Parses a document like {@link #parse}, but rejects an object with a duplicate name, as one of the two values
+     * would silently be dropped.
+     *
+     * @throws IOException if the document is not well-formed, has more than one value or has a duplicate name
+     */
     public static Object parseStrict(byte[] json) throws IOException {
         return parse(new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION), json);
     }
@@ -49,9 +54,10 @@
     }
 
     /**
-     * Writes a document in UTF-8, indented, with a newline at the end; whole numbers are written without a fraction.
+     * Returns a document in UTF-8, indented and with a newline at the end. Whole numbers below 1e15 are written without
+     * a fraction.
      *
-     * @param tree of the types above only: anything else is written as null
+     * @param tree a tree of the types above only; a value of any other type is written as null
      */
     public static byte[] write(Object tree) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -94,10 +100,10 @@
     }
 
     /**
-     * Reads one value from a parser, which stands at its last token afterwards.
+     * Reads one value from a parser, and leaves the parser at the value's last token.
      *
-     * @param token the value's first, which was read last; null at the end of input
-     * @throws IOException where the input is not well-formed or ends
+     * @param token the value's first token, which the parser has just read; null at the end of input
+     * @throws IOException if the input is not well-formed or ends before the value does
      */
     public static Object read(JsonParser json, JsonToken token) throws IOException {
         if (token == null) {
--- a/daemon/src/main/java/portrelay/json/package-info.java
+++ b/daemon/src/main/java/portrelay/json/package-info.java
@@ -1,2 +1,2 @@
-/** JSON read and written as a tree of plain objects. Knows no other package; any thread, holds no state. */
+/** Reads and writes JSON as a tree of plain objects. Depends on no other package; stateless and thread-safe. */
 package portrelay.json;
--- a/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
@@ -111,7 +111,7 @@
 
     private boolean isTooLate() {
         double now = loop.now();
-        shutdown.loopLagged(loop.lag().overdue(now));
+        shutdown.loopLagMeasured(loop.lag().overdue(now));
         return !shutdown.mayForward(now);
     }
 
--- a/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
+++ b/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 import org.xnio.XnioExecutor;
 import portrelay.discovery.WatchCalls;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.model.EndpointUpdate;
 import portrelay.model.UpstreamId;
 import portrelay.net.balancer.LoadBalancerActor;
@@ -250,7 +250,7 @@
     /** Null, with a line in the log, where the answer is no list. */
     private EndpointListPage parse(HttpResult result) {
         try {
-            return EndpointListPage.read(JsonFields.of(Tree.parse(result.body()), ""));
+            return EndpointListPage.read(JsonFields.of(JsonTree.parse(result.body()), ""));
         } catch (IOException | InvalidSettingException e) {
             log.warn("discovery sent no list: cause="
                     + e.getMessage().lines().findFirst().orElse(""));
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
@@ -63,7 +63,7 @@
                 new GroupId((long) row.number(WireNames.GROUP, 0)),
                 ZoneId.of(row.string(WireNames.ZONE, "")),
                 new InstanceTypeId((int) Hash.of(row.string(WireNames.INSTANCE_TYPE, ""))));
-        return new Row(endpoint, address, row.tree());
+        return new Row(endpoint, address, row.asMap());
     }
 
     private static Endpoint.Health health(JsonFields row) throws InvalidSettingException {
--- a/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.model.Hash;
 import portrelay.net.eventloop.Log;
 import portrelay.settings.InvalidSettingException;
@@ -119,7 +119,7 @@
             if (Files.size(file) > MAX_STATE_BYTES) {
                 throw new IOException("longer than " + MAX_STATE_BYTES + " bytes");
             }
-            statesRead.put(number, HandoverStateCodec.decode(Tree.parse(Files.readAllBytes(file)), sidecarName));
+            statesRead.put(number, HandoverStateCodec.decode(JsonTree.parse(Files.readAllBytes(file)), sidecarName));
         } catch (IOException | InvalidSettingException | RuntimeException e) {
             if (logged.add(number)) {
                 String cause =
@@ -134,7 +134,7 @@
     void write(HandoverState state) {
         Path temporary = file(ownNumber, "tmp");
         try {
-            Files.write(temporary, Tree.write(HandoverStateCodec.encode(state)));
+            Files.write(temporary, JsonTree.write(HandoverStateCodec.encode(state)));
             Files.move(
                     temporary,
                     stateFile(ownNumber),
--- a/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
@@ -77,7 +77,7 @@
     /** Whether a successor serves at this address. */
     void successorKnown(boolean serves) {
         if (serves) {
-            shutdown.successorServes();
+            shutdown.successorStarted();
         } else {
             frontend.setReady(false);
         }
@@ -125,13 +125,13 @@
     }
 
     @Override
-    public void refuseNew() {
+    public void rejectNewRequests() {
         logStep("rejecting new requests");
         frontend.rejectNewRequests();
     }
 
     @Override
-    public void answerOpen() {
+    public void answerOpenRequests() {
         logStep("failing open requests");
         loadBalancer.failOpenRequests();
     }
@@ -168,11 +168,11 @@
         }
         this.signalledAt = signalledAt;
         if (!frontend.isListening()) {
-            shutdown.neverListened();
+            shutdown.listenerNeverStarted();
         }
         // Counts the lag up to now, as the signal may have been sent during it.
         loop.lag().beat(loop.now());
-        shutdown.signalled(loop.now(), loop.lag().earliestSignal(signalledAt), signalledAt);
+        shutdown.signalReceived(loop.now(), loop.lag().earliestSignal(signalledAt), signalledAt);
         poll(loop.now());
     }
 
@@ -194,7 +194,7 @@
             loadBalancer.failOpenRequests();
         }
         if (frontend.clientCount() == 0) {
-            shutdown.noClients(loop.now());
+            shutdown.noClientsConnected(loop.now());
         }
         double next = loop.now() + POLL_INTERVAL_SECONDS;
         loop.schedule(POLL_INTERVAL_SECONDS, () -> poll(next));
@@ -202,7 +202,7 @@
 
     private void observeLag(double seconds) {
         boolean wasBehind = shutdown.hasFallenBehind();
-        shutdown.loopLagged(seconds);
+        shutdown.loopLagMeasured(seconds);
         if (!wasBehind && shutdown.hasFallenBehind()) {
             logStep("event loop too late, forwarding nothing more");
         }
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import portrelay.admission.AdmissionConfig;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.net.discovery.EndpointListPage;
 import portrelay.net.http.SocketAddresses;
 import portrelay.net.http.WireNames;
@@ -129,7 +129,7 @@
 
     private static Object tree(byte[] json) throws InvalidSettingException {
         try {
-            return Tree.parseStrict(json);
+            return JsonTree.parseStrict(json);
         } catch (IOException e) {
             String cause = e.getMessage().lines().findFirst().orElse("");
             throw new InvalidSettingException("the whole", "well-formed JSON, but " + cause);
--- a/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
@@ -91,7 +91,7 @@
         this.loop = loop;
         this.length = length;
         this.settings = config.settings();
-        this.tenant = settings.anyTenant();
+        this.tenant = settings.firstTenantName();
         this.requestClasses = settings.requestClasses();
         Log noLog = new Log(new PrintStream(OutputStream.nullOutputStream()), config.name());
         loadBalancer = new LoadBalancerActor(loop, noLog, actions -> settings.createStandalone(actions, config.seed()));
--- a/daemon/src/main/java/portrelay/simulation/MalformedInputException.java
+++ b/daemon/src/main/java/portrelay/simulation/MalformedInputException.java
@@ -2,16 +2,17 @@
 
 import portrelay.settings.InvalidSettingException;
 
-/** Input that breaks the wire's form; the message names the line, from 1, and what was expected there. */
+/** Thrown for input that violates the simulator's protocol. The message names the line, from 1, and what it expects. */
 public final class MalformedInputException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    /** Settings in that line that can't be read. */
+    /** Creates an exception for invalid settings in a line. */
     MalformedInputException(long line, InvalidSettingException cause) {
         super("line " + line + ": " + cause.getMessage(), cause);
     }
 
+    /** Creates an exception for a line in which something else was expected. */
     MalformedInputException(long line, String expected) {
         super("line " + line + ": expected " + expected);
     }
--- a/daemon/src/main/java/portrelay/simulation/ModelReader.java
+++ b/daemon/src/main/java/portrelay/simulation/ModelReader.java
@@ -21,13 +21,15 @@
 import portrelay.settings.JsonFields;
 import portrelay.settings.Settings;
 
-/** Reads the model's types off the wire. Each method consumes the values of its type, in the wire's order. */
+/** Reads the model's types from the input. Each method consumes the values of its type in the protocol's order. */
 final class ModelReader {
 
-    /** Bits of an arrival's {@code state-bits}. */
+    /** Bit of an arrival's {@code state-bits}: the predicted work is given. */
     private static final int WORK_IS_KNOWN_BIT = 1;
 
+    /** Bit of an arrival's {@code state-bits}: the client retries a request. */
     private static final int RETRIED_BY_CLIENT_BIT = 2;
+
     private static final double MILLIS_PER_SECOND = 1e3;
     private static final String LOAD_REPORT = "telemetry";
 
@@ -63,7 +65,7 @@
         String tenantName = in.textOrNull("tenant");
         TenantId tenant = tenantName == null ? null : settings.tenant(tenantName);
         String idempotencyKey = in.textOrNull("target-key");
-        double deadline = WireClock.seconds(in.integer("due-us"));
+        double deadline = SimulationTime.seconds(in.integer("due-us"));
         long workMicros = in.integerOr("predicted-us", 0);
         long flags = in.integerOr("state-bits", 0);
         boolean isWorkKnown = (flags & WORK_IS_KNOWN_BIT) != 0;
@@ -73,11 +75,14 @@
                 tenant,
                 idempotencyKey,
                 deadline,
-                isWorkKnown ? WireClock.seconds(workMicros) : Double.NaN,
+                isWorkKnown ? SimulationTime.seconds(workMicros) : Double.NaN,
                 (flags & RETRIED_BY_CLIENT_BIT) != 0);
     }
 
-    /** The codes are the wire's: 0 is an answer, 249 to 255 count down from the upstream's error. */
+    /**
+     * Reads an outcome by its code in the protocol: 0 is an answer; the other outcomes are numbered downwards from 255,
+     * an error of the upstream, to 249.
+     */
     Outcome outcome() throws IOException, MalformedInputException {
         long code = in.integer("code");
         return switch ((int) code) {
@@ -93,9 +98,9 @@
         };
     }
 
-    /** Null where the upstream reported nothing. */
+    /** Reads a load report; null if the upstream reported nothing. Unknown fields are ignored. */
     LoadReport loadReportOrNull() throws IOException, MalformedInputException {
-        if (!in.openObject(LOAD_REPORT)) {
+        if (!in.enterObject(LOAD_REPORT)) {
             return null;
         }
         double inFlight = Double.NaN;
@@ -104,7 +109,7 @@
         double meanLatency = Double.NaN;
         double servedRate = Double.NaN;
         double errorRate = Double.NaN;
-        for (String name = in.field(); name != null; name = in.field()) {
+        for (String name = in.nextField(); name != null; name = in.nextField()) {
             double value = in.numberOrNaN();
             switch (name) {
                 case "concurrent" -> inFlight = value;
@@ -132,8 +137,8 @@
 
     List<Endpoint> endpoints() throws IOException, MalformedInputException {
         List<Endpoint> endpoints = new ArrayList<>();
-        in.openList("rows");
-        while (in.row()) {
+        in.enterList("rows");
+        while (in.nextRow()) {
             endpoints.add(endpoint());
             in.endMessage();
         }
@@ -144,10 +149,10 @@
         double weight = in.number("scale");
         GroupId cell = new GroupId(in.integerOr("group", 0));
         UpstreamId upstream = upstreamId();
-        double startedAt = WireClock.seconds(in.integerOr("online-since-us", 0));
+        double startedAt = SimulationTime.seconds(in.integerOr("online-since-us", 0));
         Endpoint.Health health = health();
         InstanceTypeId instanceType =
-                instanceTypes.computeIfAbsent(in.text("shape"), name -> new InstanceTypeId(instanceTypes.size()));
+                instanceTypes.computeIfAbsent(in.text("shape"), shape -> new InstanceTypeId(instanceTypes.size()));
         ZoneId zone = ZoneId.of(in.text("zone"));
         return new Endpoint(upstream, health, startedAt, weight, cell, zone, instanceType);
     }
--- a/daemon/src/main/java/portrelay/simulation/SimulationDriver.java
+++ b/daemon/src/main/java/portrelay/simulation/SimulationDriver.java
@@ -17,15 +17,16 @@
 import portrelay.settings.Settings;
 
 /**
- * Drives many load balancers on the simulator's wire: reads one batch of events, each at the batch's time, and writes
- * one batch of actions. Owns the instances and the pages of the endpoint list that they refer to. Not thread-safe.
+ * Runs many load balancers in the operators' simulator: reads batches of events and answers each with one batch of
+ * actions. All events of a batch happen at the batch's time. Owns the instances and the pages of the endpoint list that
+ * their updates refer to. Not thread-safe.
  */
 public final class SimulationDriver {
 
-    /** An update's number where it refers to no page; no page has it. */
+    /** The page number of an update that refers to no page; no page has this number. */
     private static final long NO_PAGE = -1;
 
-    /** The wire numbers the instances. */
+    /** The number of an instance in the protocol. */
     private record InstanceId(long value) {}
 
     private record Instance(InstanceId id, LoadBalancer loadBalancer, Settings settings) {}
@@ -34,12 +35,12 @@
     private final ModelReader model;
     private final SimulationWriter out;
     private final Map<InstanceId, Instance> instances = new HashMap<>();
-    /** Endpoint lists by their number on the wire, each sent once as a page; updates of the instances refer to them. */
+    /** Endpoint lists by page number. Each is sent once as a page, and the instances' updates refer to it by number. */
     private final Map<Long, List<Endpoint>> pages = new HashMap<>();
 
     private double now;
 
-    /** Reads and writes the wire's messages, which are JSON in UTF-8; closes neither stream. */
+    /** Creates a driver on streams of the protocol's messages, which are JSON in UTF-8. Closes neither stream. */
     public SimulationDriver(InputStream in, OutputStream out) throws IOException {
         this.in = new SimulationReader(in);
         this.model = new ModelReader(this.in);
@@ -47,45 +48,45 @@
     }
 
     /**
-     * Returns when the input ends between two batches.
+     * Processes batches until the input ends between two batches.
      *
-     * @throws MalformedInputException where the input breaks the wire's form; the batch is not answered
+     * @throws MalformedInputException if the input violates the protocol; the batch in question is not answered
      */
     public void run() throws IOException, MalformedInputException {
-        for (String name = in.message(); name != null; name = in.message()) {
+        for (String name = in.nextMessage(); name != null; name = in.nextMessage()) {
             if (!name.equals("clock")) {
                 throw in.malformed("a clock message at the start of a batch, not " + name);
             }
-            now = WireClock.seconds(in.integer("the clock"));
+            now = SimulationTime.seconds(in.integer("the clock"));
             in.endMessage();
-            batch();
+            processBatch();
             out.endBatch();
         }
     }
 
-    private void batch() throws IOException, MalformedInputException {
-        for (String name = in.message(); name != null; name = in.message()) {
+    private void processBatch() throws IOException, MalformedInputException {
+        for (String name = in.nextMessage(); name != null; name = in.nextMessage()) {
             if (name.equals("flush")) {
                 in.endMessage();
                 return;
             }
             switch (name) {
-                case "page" -> page();
+                case "page" -> readPage();
                 case "new-instance" -> startInstance();
-                default -> event(name);
+                default -> processEvent(name);
             }
             in.endMessage();
         }
         throw new MalformedInputException(in.line(), "flush before the end of input");
     }
 
-    private void page() throws IOException, MalformedInputException {
+    private void readPage() throws IOException, MalformedInputException {
         long number = in.integer("sheet");
         pages.put(number, model.endpoints());
     }
 
-    /** Reads an event and lets its instance decide; values that no decision needs are read and dropped. */
-    private void event(String name) throws IOException, MalformedInputException {
+    /** Reads an event and passes it to its instance. Values that no decision depends on are read and dropped. */
+    private void processEvent(String name) throws IOException, MalformedInputException {
         EventType type = EventType.of(name);
         if (type == null) {
             throw in.malformed("a known event, not " + name);
@@ -116,7 +117,7 @@
         InstanceId id = instanceId();
         long seed = in.integer("init-seed");
         Settings settings = model.settings();
-        Instance instance = new Instance(id, settings.create(out.actionsOf(id.value()), seed), settings);
+        Instance instance = new Instance(id, settings.create(out.actionsFor(id.value()), seed), settings);
         instances.put(id, instance);
         decide(instance, () -> instance.loadBalancer().start(now));
     }
@@ -126,7 +127,7 @@
         decide(instance, () -> instance.loadBalancer().requestArrived(now, arrival));
     }
 
-    /** Passed over: an answer counts when it is complete, and no deployment streams any. */
+    /** Ignores the event: an answer counts once it is complete, and no deployment streams answers. */
     private void skipAnswerBegan() throws IOException, MalformedInputException {
         model.requestId();
         model.upstreamId();
@@ -182,7 +183,7 @@
         decide(instance, () -> instance.loadBalancer().peerMessageReceived(now, from, text));
     }
 
-    /** A fault in the decisions is reported for its instance; the other instances go on. */
+    /** Runs a decision. An exception in it is reported for its instance; the other instances continue. */
     private void decide(Instance instance, Runnable decision) throws IOException {
         try {
             decision.run();
--- a/daemon/src/main/java/portrelay/simulation/SimulationReader.java
+++ b/daemon/src/main/java/portrelay/simulation/SimulationReader.java
@@ -6,11 +6,12 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.io.InputStream;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 
 /**
- * Reads the wire's values one by one: messages are JSON arrays that start with their name. A value that is not what it
- * should be is a {@link MalformedInputException} that names its line and what was expected. Owned by
+ * Reads the values of the simulator's messages one by one. A message is a JSON array that starts with the message's
+ * name. A value of another form than expected causes a {@link MalformedInputException} that names its line and what was
+ * expected. The {@code name} parameters are the values' names in the exception's message. Owned by
  * {@link SimulationDriver}.
  */
 final class SimulationReader {
@@ -21,12 +22,12 @@
         json = new JsonFactory().createParser(in);
     }
 
-    /** The line that is read now, from 1. */
+    /** Returns the number, from 1, of the line being read. */
     long line() {
         return json.currentLocation().getLineNr();
     }
 
-    /** The exception for the value that was read last, to be thrown by the caller. */
+    /** Returns an exception for the value that was read last, for the caller to throw. */
     MalformedInputException malformed(String expected) {
         return new MalformedInputException(json.currentTokenLocation().getLineNr(), expected);
     }
@@ -40,8 +41,8 @@
         }
     }
 
-    /** The name of the next message, or null at the end of input. */
-    String message() throws IOException, MalformedInputException {
+    /** Starts the next message and returns its name; null at the end of input. */
+    String nextMessage() throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token == null) {
             return null;
@@ -55,7 +56,7 @@
         return json.getText();
     }
 
-    /** Passes over values that later versions of the wire may add behind the known ones. */
+    /** Ends a message, skipping any values that later versions of the protocol may append to the known ones. */
     void endMessage() throws IOException, MalformedInputException {
         for (JsonToken token = next(); token != JsonToken.END_ARRAY; token = next()) {
             if (token == null) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /** A whole number of 64 bits. */
+    /** Reads a whole number of at most 64 bits. */
     long integer(String name) throws IOException, MalformedInputException {
         if (next() != JsonToken.VALUE_NUMBER_INT) {
             throw malformed(name + " as a whole number");
@@ -81,11 +82,11 @@
         return currentInteger(name);
     }
 
-    /** As {@link #integer}, but {@code absent} where there is null. */
-    long integerOr(String name, long absent) throws IOException, MalformedInputException {
+    /** Reads a whole number like {@link #integer}; returns the default for null. */
+    long integerOr(String name, long defaultValue) throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token == JsonToken.VALUE_NULL) {
-            return absent;
+            return defaultValue;
         }
         if (token != JsonToken.VALUE_NUMBER_INT) {
             throw malformed(name + " as a whole number or null");
@@ -116,7 +117,7 @@
         return json.getText();
     }
 
-    /** A string; null where the wire has null or 0. */
+    /** Reads a string; returns null for null or 0. */
     String textOrNull(String name) throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token == JsonToken.VALUE_NULL) {
@@ -139,18 +140,18 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** Any value, as {@link Tree#read} gives it. */
+    /** Reads any value in the form that {@link JsonTree#read} returns. */
     Object tree() throws IOException, MalformedInputException {
         JsonToken token = next();
         try {
-            return Tree.read(json, token);
+            return JsonTree.read(json, token);
         } catch (JsonProcessingException e) {
             throw malformed("well-formed JSON, but " + e.getOriginalMessage());
         }
     }
 
-    /** True while a list has a further row; steps into that row. */
-    boolean row() throws IOException, MalformedInputException {
+    /** Enters the next row of a list, an array; returns false at the end of the list. */
+    boolean nextRow() throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token == JsonToken.START_ARRAY) {
             return true;
@@ -161,14 +162,15 @@
         throw malformed("a list entry as an array");
     }
 
-    void openList(String name) throws IOException, MalformedInputException {
+    /** Enters a list. */
+    void enterList(String name) throws IOException, MalformedInputException {
         if (next() != JsonToken.START_ARRAY) {
             throw malformed(name + " as an array");
         }
     }
 
-    /** Steps into an object; false where there is null in its place. */
-    boolean openObject(String name) throws IOException, MalformedInputException {
+    /** Enters an object; returns false for null. */
+    boolean enterObject(String name) throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token == JsonToken.VALUE_NULL) {
             return false;
@@ -179,12 +181,12 @@
         return true;
     }
 
-    /** The next field's name, or null at the object's end. */
-    String field() throws IOException, MalformedInputException {
+    /** Returns the next field's name; null at the end of the object. */
+    String nextField() throws IOException, MalformedInputException {
         return next() == JsonToken.FIELD_NAME ? json.currentName() : null;
     }
 
-    /** NaN for any value that is no number. */
+    /** Reads a number; returns NaN for any other value. */
     double numberOrNaN() throws IOException, MalformedInputException {
         JsonToken token = next();
         if (token != null && token.isNumeric()) {
--- a/daemon/src/main/java/portrelay/simulation/SimulationWriter.java
+++ b/daemon/src/main/java/portrelay/simulation/SimulationWriter.java
@@ -12,8 +12,8 @@
 import portrelay.model.UpstreamId;
 
 /**
- * Collects the actions of one batch, one line each, and writes them in one piece when the batch ends, followed by the
- * line that says so. Owned by {@link SimulationDriver}.
+ * Collects the actions of one batch, one line each, and writes them all at once when the batch ends, followed by the
+ * line that marks its end. Owned by {@link SimulationDriver}.
  */
 final class SimulationWriter {
 
@@ -29,9 +29,9 @@
     private static final SerializedString CLOSE_IDLE_CONNECTIONS = new SerializedString("let-go");
     private static final SerializedString LOG = new SerializedString("debug");
     private static final String ALL_PEERS = "all";
-    /** A text that the wire wants with each timer and returns with its wake-up; nothing here depends on it. */
+    /** Text that the protocol requires with each timer and returns with its wake-up. Not evaluated here. */
     private static final String TIMER_NONCE = "a";
-    /** An attempt's timeout on the wire, in microseconds: 0 means the request's deadline. */
+    /** Timeout of an attempt in the protocol, in microseconds: 0 stands for the request's deadline. */
     private static final int UNTIL_DEADLINE = 0;
 
     private final OutputStream out;
@@ -44,6 +44,7 @@
         json.setRootValueSeparator(new SerializedString("\n"));
     }
 
+    /** Writes the collected batch and flushes the output. */
     void endBatch() throws IOException {
         json.writeStartArray();
         json.writeString("ok");
@@ -55,7 +56,7 @@
         batch.reset();
     }
 
-    /** The decisions of this instance threw; what they had done before in this batch stays. */
+    /** Reports an exception in a decision of an instance. The instance's earlier actions of this batch are kept. */
     void instanceFailed(long instance, String cause) throws IOException {
         json.writeStartArray();
         json.writeString("bail-out");
@@ -64,8 +65,8 @@
         json.writeEndArray();
     }
 
-    /** The actions of that instance, each written into the batch that is open. */
-    LoadBalancerActions actionsOf(long instance) {
+    /** Returns the actions of an instance; each is added to the current batch. */
+    LoadBalancerActions actionsFor(long instance) {
         return new InstanceActions(instance);
     }
 
@@ -77,11 +78,11 @@
             this.instance = instance;
         }
 
-        private interface Values {
+        private interface ValueWriter {
             void write() throws IOException;
         }
 
-        private void action(SerializedString name, Values values) {
+        private void writeAction(SerializedString name, ValueWriter values) {
             try {
                 json.writeStartArray();
                 json.writeString(name);
@@ -95,7 +96,7 @@
 
         @Override
         public void sendAttempt(RequestId request, UpstreamId upstream) {
-            action(SEND_ATTEMPT, () -> {
+            writeAction(SEND_ATTEMPT, () -> {
                 json.writeString(request.value());
                 json.writeNumber(UNTIL_DEADLINE);
                 json.writeNumber(upstream.value());
@@ -104,7 +105,7 @@
 
         @Override
         public void cancelAttempt(RequestId request, int attempt) {
-            action(CANCEL_ATTEMPT, () -> {
+            writeAction(CANCEL_ATTEMPT, () -> {
                 json.writeString(request.value());
                 json.writeNumber(attempt);
             });
@@ -112,38 +113,38 @@
 
         @Override
         public void reject(RequestId request, double retryAfter) {
-            action(REJECT, () -> {
+            writeAction(REJECT, () -> {
                 json.writeString(request.value());
-                json.writeNumber(WireClock.microsNotBefore(retryAfter));
+                json.writeNumber(SimulationTime.microsNotBefore(retryAfter));
             });
         }
 
         @Override
         public void fail(RequestId request) {
-            action(FAIL, () -> json.writeString(request.value()));
+            writeAction(FAIL, () -> json.writeString(request.value()));
         }
 
         @Override
         public void wakeUpAt(double time) {
-            action(WAKE_UP_AT, () -> {
-                json.writeNumber(WireClock.microsNotBefore(time));
+            writeAction(WAKE_UP_AT, () -> {
+                json.writeNumber(SimulationTime.microsNotBefore(time));
                 json.writeString(TIMER_NONCE);
             });
         }
 
         @Override
         public void pollDiscovery() {
-            action(POLL_DISCOVERY, () -> json.writeBoolean(true));
+            writeAction(POLL_DISCOVERY, () -> json.writeBoolean(true));
         }
 
         @Override
         public void probeLoad(UpstreamId upstream) {
-            action(PROBE_LOAD, () -> json.writeNumber(upstream.value()));
+            writeAction(PROBE_LOAD, () -> json.writeNumber(upstream.value()));
         }
 
         @Override
         public void sendToPeer(int sidecar, String text) {
-            action(PEER_MESSAGE, () -> {
+            writeAction(PEER_MESSAGE, () -> {
                 json.writeNumber(sidecar);
                 json.writeString(text);
             });
@@ -151,7 +152,7 @@
 
         @Override
         public void broadcastToPeers(String text) {
-            action(PEER_MESSAGE, () -> {
+            writeAction(PEER_MESSAGE, () -> {
                 json.writeString(ALL_PEERS);
                 json.writeString(text);
             });
@@ -159,12 +160,12 @@
 
         @Override
         public void closeIdleConnections(UpstreamId upstream) {
-            action(CLOSE_IDLE_CONNECTIONS, () -> json.writeNumber(upstream.value()));
+            writeAction(CLOSE_IDLE_CONNECTIONS, () -> json.writeNumber(upstream.value()));
         }
 
         @Override
         public void log(String text) {
-            action(LOG, () -> json.writeString(text));
+            writeAction(LOG, () -> json.writeString(text));
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.model.LoadBalancerActions;
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
@@ -33,7 +33,7 @@
     @Test
     void anInvalidSettingIsNamedByItsPath() throws Exception {
         List<String> wrong = new ArrayList<>();
-        int named = tryAll(Tree.parse(GOOD.getBytes(UTF_8)), wrong);
+        int named = tryAll(JsonTree.parse(GOOD.getBytes(UTF_8)), wrong);
         assertEquals(List.of(), wrong);
         assertTrue(named > 300, named + " were named");
     }
@@ -43,7 +43,7 @@
         for (JsonField field : fields(root, "")) {
             for (Object bad : BAD) {
                 Object before = field.set(bad);
-                String json = new String(Tree.write(root), UTF_8);
+                String json = new String(JsonTree.write(root), UTF_8);
                 try {
                     start(json);
                 } catch (InvalidSettingException e) {
--- a/daemon/src/test/java/portrelay/net/WireFormatTest.java
+++ b/daemon/src/test/java/portrelay/net/WireFormatTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.net.lifecycle.Sidecar;
 import portrelay.net.lifecycle.SidecarConfig;
 
@@ -168,7 +168,7 @@
     /** Sets are written in an order of their own in each process. */
     private static Map<String, Object> withoutOrder(String json) throws IOException {
         Map<String, Object> tree = new HashMap<>();
-        ((Map<?, ?>) Tree.parse(json.getBytes(UTF_8))).forEach((name, value) -> tree.put((String) name, value));
+        ((Map<?, ?>) JsonTree.parse(json.getBytes(UTF_8))).forEach((name, value) -> tree.put((String) name, value));
         tree.put("offerings", Set.copyOf((List<?>) tree.get("offerings")));
         return tree;
     }
--- a/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
+++ b/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 import portrelay.model.UpstreamId;
 
 /** Guards the stored form: a process of another version reads it. */
@@ -57,7 +57,7 @@
 
     @Test
     void aRecordedFileIsReadAndWrittenAgainByteForByte() throws Exception {
-        HandoverState state = HandoverStateCodec.decode(Tree.parse(RECORDED.getBytes(UTF_8)), "t");
+        HandoverState state = HandoverStateCodec.decode(JsonTree.parse(RECORDED.getBytes(UTF_8)), "t");
         assertEquals(new HandoverState.Owner("t", "127.0.0.1:8080", Set.of("read")), state.owner);
         assertTrue(state.isServing && state.isEnding);
         assertEquals(new HandoverState.OperatorCall(true, 1764750000.25), state.service);
@@ -69,7 +69,7 @@
                         new HandoverState.OperatorCall(false, 1764750002)),
                 state.calls.latest());
         assertEquals(List.of(ENABLED, DISABLED), List.copyOf(state.everListed));
-        String written = new String(Tree.write(HandoverStateCodec.encode(state)), UTF_8);
+        String written = new String(JsonTree.write(HandoverStateCodec.encode(state)), UTF_8);
         assertEquals(RECORDED.strip(), written.strip());
     }
 }
--- a/daemon/src/test/java/portrelay/simulation/SimulationDriverTest.java
+++ b/daemon/src/test/java/portrelay/simulation/SimulationDriverTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Input and answers on the simulator's wire, byte for byte as recorded before this package was renamed. */
+/** Tests input and answers of the simulator's protocol byte for byte, as recorded before this package was renamed. */
 class SimulationDriverTest {
 
     private static final String WITH_LOAD_PROBES = """
@@ -146,12 +146,12 @@
     }
 
     @Test
-    void everyEventIsReadAndAnsweredInItsBatch() throws Exception {
+    void readsEveryEventAndAnswersItInItsBatch() throws Exception {
         assertEquals(WITH_LOAD_PROBES_ANSWERS, answers(WITH_LOAD_PROBES));
     }
 
     @Test
-    void everyActionIsWrittenWithItsFields() throws Exception {
+    void writesEveryActionWithItsFields() throws Exception {
         assertEquals(WITH_PEERS_ANSWERS, answers(WITH_PEERS));
     }
 
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void malformedInputIsNamedByItsLine() {
+    void malformedInputIsReportedWithItsLine() {
         assertMalformed("line 1: expected a clock message at the start of a batch, not flush", "[\"flush\"]\n");
         assertMalformed("line 1: expected a message, an array that starts with its name", "{\n");
         assertMalformed("line 1: expected the message's name as a string", "[1]\n");
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void whatWasAnsweredBeforeMalformedInputStays() {
+    void batchesBeforeMalformedInputAreAnswered() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         String input = "[\"clock\",1]\n[\"flush\"]\n[\"clock\",2]\n[\"nonsense\",3]\n";
         assertThrows(
--- a/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
@@ -19,7 +19,7 @@
 import portrelay.fleet.RetryAmplification;
 import portrelay.fleet.ScalingBenchmark;
 import portrelay.fleet.Scenario;
-import portrelay.json.Tree;
+import portrelay.json.JsonTree;
 
 @Parameters(commandDescription = "play simulated sidecars, many in one process: what the fleet's size costs")
 final class ScaleCommand implements Command {
@@ -206,7 +206,7 @@
         report.put("seed", (double) seed);
         report.put("runs", runs);
         try {
-            Files.write(Path.of(reportFile), Tree.write(report));
+            Files.write(Path.of(reportFile), JsonTree.write(report));
             return true;
         } catch (IOException e) {
             System.err.println("portrelay-kit scale: --report: " + e.getMessage());
