--- a/core/src/test/java/portrelay/lease/LeaseWorld.java
+++ b/core/src/test/java/portrelay/lease/LeaseWorld.java
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Applies the defects of the state machines. The others are planted in the terms, at a restart or reload, and where votes
-     * are counted.
+     * Applies the defects of the state machines. The others are planted in the terms, at a restart or reload, and where
+     * votes are counted.
      */
     private Replica.Step withDefect(Envelope envelope, Replica before, Replica.Step step) {
         Replica next = step.next();
