--- a/core/src/main/java/portrelay/policy/Attempt.java
+++ b/core/src/main/java/portrelay/policy/Attempt.java
@@ -3,27 +3,27 @@
 import portrelay.model.Endpoint;
 import portrelay.model.Outcome;
 
-/** One attempt of a request, and the circumstances in which it was sent. */
+/** One attempt of a request, with the state of its upstream when it was sent. */
 final class Attempt {
 
     final UpstreamState upstream;
-    /** The endpoint as listed when it was sent: its deduplication scope may change later. */
+    /** The endpoint as listed when the attempt was sent: the listed deduplication scope may change later. */
     final Endpoint endpoint;
 
     final double sentAt;
-    /** Whether it is the single attempt that an ejected upstream gets to show that it works again. */
+    /** Whether this is a trial request, the single attempt that shows whether an ejected upstream has recovered. */
     final boolean isTrial;
-    /** Expected latency as a multiple of the typical one; 1 where no load is known. */
+    /** Expected latency as a multiple of the typical latency; 1 if the load is unknown. */
     final double expectedLatencyRatio;
-    /** How long its connection had been idle; 0 for a new or busy one. */
+    /** How long the connection had been idle before the attempt; 0 for a new or busy connection. */
     final double connectionIdleSeconds;
-    /** Requests that the upstream had served before, for all sidecars that share it. */
-    final int servedBefore;
-    /** Attempts in flight at the upstream, this one included. */
+    /** Attempts that the upstream had served before this one, counted over all sidecars that share it. */
+    final int servedCountWhenSent;
+    /** Attempts in flight at the upstream when this one was sent, including this one. */
     final int inFlightWhenSent;
-    /** Whether its start was reported to peers: an end without a start would tell them a wrong number in flight. */
+    /** Whether the start was reported to peers: an end without a start would corrupt their count of those in flight. */
     boolean isStartReported;
-    /** Null while in flight. */
+    /** Null while the attempt is in flight. */
     Outcome outcome;
 
     Attempt(
@@ -32,7 +32,7 @@
             boolean isTrial,
             double expectedLatencyRatio,
             double connectionIdleSeconds,
-            int servedBefore,
+            int servedCountWhenSent,
             int inFlightWhenSent) {
         this.upstream = upstream;
         this.endpoint = upstream.endpoint;
@@ -40,7 +40,7 @@
         this.isTrial = isTrial;
         this.expectedLatencyRatio = expectedLatencyRatio;
         this.connectionIdleSeconds = connectionIdleSeconds;
-        this.servedBefore = servedBefore;
+        this.servedCountWhenSent = servedCountWhenSent;
         this.inFlightWhenSent = inFlightWhenSent;
     }
 
@@ -48,7 +48,7 @@
         return outcome == null;
     }
 
-    /** In flight counts as executed: only an outcome can prove the contrary. */
+    /** Whether the upstream may have executed the attempt; true while in flight: only an outcome proves otherwise. */
     boolean mayHaveExecuted() {
         return outcome == null || !outcome.provablyNotExecuted;
     }
--- a/core/src/main/java/portrelay/policy/AttemptTracker.java
+++ b/core/src/main/java/portrelay/policy/AttemptTracker.java
@@ -5,7 +5,7 @@
 import portrelay.model.LoadBalancerActions;
 import portrelay.model.Outcome;
 
-/** Sends attempts, and passes their start and their end to all that counts or learns from them. */
+/** Sends attempts, and notifies the statistics and the adaptive limits when an attempt starts or ends. */
 final class AttemptTracker {
 
     private final LoadBalancerActions actions;
@@ -32,11 +32,11 @@
         this.limitFeedback = new LimitFeedback(concurrencyLimit, latencies);
     }
 
-    /** Sends the request's next attempt to the upstream. */
+    /** Sends the next attempt of the request to the upstream. */
     void start(OpenRequest request, UpstreamState upstream, double nowSeconds) {
         boolean isTrial = upstream.isTrialDue(nowSeconds) && !request.arrival.singleAttempt();
         upstream.isTrialInFlight |= isTrial;
-        upstream.isTrialOwed = false;
+        upstream.isUntriedSinceEnabled = false;
         double idleSeconds = connectionIdleSeconds(upstream, nowSeconds);
         Attempt attempt = new Attempt(
                 upstream,
@@ -56,14 +56,14 @@
         actions.sendAttempt(request.arrival.id(), upstream.id);
     }
 
-    /** An attempt in flight has ended. */
+    /** Records the outcome of an attempt that was in flight until now. */
     void end(OpenRequest request, Attempt attempt, Outcome outcome, double nowSeconds) {
         attempt.outcome = outcome;
         attempt.upstream.inFlight--;
         if (outcome == Outcome.SERVED) {
-            slowStart.served(attempt.upstream, fleet.subsetUpstreams(), nowSeconds);
+            slowStart.attemptServed(attempt.upstream, fleet.subsetUpstreams(), nowSeconds);
         }
-        // How long a streamed body takes says nothing of the upstream.
+        // The duration of a single attempt depends on its streamed body and does not measure the upstream.
         if (!request.arrival.singleAttempt()) {
             boolean isWarm = slowStart.isWarm(attempt.upstream, nowSeconds);
             limitFeedback.attemptEnded(request, attempt, isWarm, nowSeconds);
@@ -74,12 +74,13 @@
     }
 
     /**
-     * How long the connection that the next attempt uses has been idle; 0 for a new or busy one. Closes idle
-     * connections that are older than those that have been found dropped.
+     * Returns how long the connection that the next attempt uses has been idle; 0 for a new or busy connection. Closes
+     * the upstream's idle connections first if they have been idle for about as long as connections that were found
+     * dropped.
      */
     private double connectionIdleSeconds(UpstreamState upstream, double nowSeconds) {
-        boolean isKnown = fleet.subset().isActive() && load.isFleetLoadKnown();
-        if (!isKnown || upstream.inFlight > 0 || upstream.lastServedAt <= 0) {
+        boolean isIdleTimeKnown = fleet.subset().isActive() && load.isFleetLoadKnown();
+        if (!isIdleTimeKnown || upstream.inFlight > 0 || upstream.lastServedAt <= 0) {
             return 0;
         }
         double idleSeconds = nowSeconds - upstream.lastServedAt;
--- a/core/src/main/java/portrelay/policy/EndpointTable.java
+++ b/core/src/main/java/portrelay/policy/EndpointTable.java
@@ -14,14 +14,14 @@
 import portrelay.model.Topology;
 import portrelay.model.UpstreamId;
 
-/** The upstreams of the endpoint list, and those that operators have disabled. */
+/** The upstreams of the endpoint list, and the set of upstreams that operators have disabled. */
 final class EndpointTable {
 
     private final Topology topology;
     private final double maxDeadlineSeconds;
     private final SplittableRandom random;
     private final Map<UpstreamId, UpstreamState> byId = new HashMap<>();
-    /** In an order drawn by this sidecar, so that sidecars do not all prefer the same upstream. */
+    /** In a random order that differs between sidecars, so that they do not all prefer the same upstream. */
     private final List<UpstreamState> upstreams = new ArrayList<>();
 
     private final Set<UpstreamId> disabled = new HashSet<>();
@@ -32,12 +32,12 @@
         this.random = random;
     }
 
-    /** All upstreams, the same list at each call. */
+    /** Returns all upstreams. The list is a live view: it is the same object at each call. */
     List<UpstreamState> upstreams() {
         return upstreams;
     }
 
-    /** Null where it is not known. */
+    /** Returns the upstream; null if the id is unknown. */
     UpstreamState get(UpstreamId id) {
         return byId.get(id);
     }
@@ -46,6 +46,7 @@
         return byId.keySet();
     }
 
+    /** Returns the mean of a value over the ready upstreams; 0 if there are none. */
     double meanOfReady(ToDoubleFunction<UpstreamState> value) {
         return upstreams.stream()
                 .filter(each -> each.isReady)
@@ -58,12 +59,12 @@
         return (int) upstreams.stream().filter(each -> each.isReady).count();
     }
 
-    /** Whether operators have disabled every upstream that is listed. */
+    /** Whether operators have disabled every listed upstream. */
     boolean areAllDisabled() {
         return !disabled.isEmpty() && upstreams.stream().allMatch(each -> disabled.contains(each.id));
     }
 
-    /** Takes over rows of the endpoint list; the update is not {@link EndpointUpdate#FAILED}. */
+    /** Applies rows of the endpoint list. The update must not be {@link EndpointUpdate#FAILED}. */
     void update(EndpointUpdate update, List<Endpoint> rows, double nowSeconds) {
         if (update != EndpointUpdate.INCREMENTAL) {
             upstreams.forEach(each -> {
@@ -71,15 +72,16 @@
                 each.isGone = true;
             });
         }
-        rows.forEach(row -> update(update, row, nowSeconds));
+        rows.forEach(row -> updateRow(update, row, nowSeconds));
         updateCapacities();
         removeGone();
     }
 
     /**
-     * An operator disables or enables an upstream. While disabled it is not ready, whatever the list says.
+     * Disables or enables an upstream on behalf of an operator. A disabled upstream is not ready, whatever health the
+     * endpoint list gives for it.
      *
-     * @return whether a known upstream has changed
+     * @return whether a known upstream was changed
      */
     boolean setDisabled(UpstreamId id, boolean isDisabled, double nowSeconds) {
         boolean hasChanged = isDisabled ? disabled.add(id) : disabled.remove(id);
@@ -88,25 +90,28 @@
             return false;
         }
         if (!isDisabled) {
-            // Operators restart what they disable: it warms up from now on, and a trial shows how it is.
+            // Operators usually restart an upstream that they disable: it warms up again, and a trial request tests it.
             upstream.enabledAt = nowSeconds;
             upstream.reset(nowSeconds, 1);
             upstream.latencyRatios.clear();
             upstream.promptSendTimes.clear();
-            upstream.isTrialOwed = true;
+            upstream.isUntriedSinceEnabled = true;
         }
         upstream.isReady = !isDisabled && upstream.endpoint.health() == Endpoint.Health.READY;
         return true;
     }
 
-    /** Guards against growth where upstreams are replaced for ever: removes the unlisted with nothing in flight. */
+    /**
+     * Removes upstreams that are no longer listed and have nothing in flight. Prevents unbounded growth where upstreams
+     * are replaced continually.
+     */
     void removeGone() {
         if (upstreams.removeIf(each -> each.isGone && each.inFlight == 0)) {
             byId.values().retainAll(upstreams);
         }
     }
 
-    private void update(EndpointUpdate update, Endpoint row, double nowSeconds) {
+    private void updateRow(EndpointUpdate update, Endpoint row, double nowSeconds) {
         UpstreamState upstream = byId.get(row.id());
         if (upstream == null) {
             upstream = new UpstreamState(row.id(), maxDeadlineSeconds);
@@ -123,7 +128,10 @@
         upstream.isGone = row.health() == Endpoint.Health.GONE;
     }
 
-    /** Instances of one type have one capacity: the weight of the idlest shows it for all. */
+    /**
+     * Updates the capacities. All instances of a type have the same capacity. Live weights fall as load rises, so there
+     * the weight of the least loaded instance shows the capacity of its type.
+     */
     private void updateCapacities() {
         Map<InstanceTypeId, Double> capacityOfType = new HashMap<>();
         upstreams.forEach(
--- a/core/src/main/java/portrelay/policy/FleetState.java
+++ b/core/src/main/java/portrelay/policy/FleetState.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import portrelay.model.Topology;
 
-/** What this sidecar knows of the fleet: shared by the policies, of which each changes only what it owns. */
+/** What this sidecar knows about the fleet. The policies share it; each changes only the part that it owns. */
 record FleetState(Topology topology, EndpointTable endpoints, Subset subset, SlowStart slowStart, LoadEstimator load) {
 
-    /** The upstreams that this sidecar uses, in the order of the table or of the assignment. */
+    /** Returns the upstreams that this sidecar uses, in the order of the endpoint table or of the subset assignment. */
     List<UpstreamState> subsetUpstreams() {
-        return subset.among(endpoints.upstreams());
+        return subset.upstreamsOrAll(endpoints.upstreams());
     }
 }
--- a/core/src/main/java/portrelay/policy/HedgingPolicy.java
+++ b/core/src/main/java/portrelay/policy/HedgingPolicy.java
@@ -4,10 +4,10 @@
 import portrelay.model.AttemptRules;
 import portrelay.model.RequestClass;
 
-/** When a request gets a hedged attempt, and whether that is of use. */
+/** Decides whether and when a request gets a hedged attempt. */
 final class HedgingPolicy {
 
-    /** From the first attempt to the hedge, however long the client waits. */
+    /** Upper bound on the time from the first attempt to the hedged one, however late the deadline is. */
     private static final double MAX_DELAY_SECONDS = 1.0;
 
     /** Share of the latency objective after which an attempt counts as slow. */
@@ -23,30 +23,34 @@
         this.concurrencyLimit = concurrencyLimit;
     }
 
+    /** Whether requests of the class may be hedged. */
     boolean allows(RequestClass requestClass) {
         return requestClass.idempotency() != RequestClass.Idempotency.UNSAFE && rules.concurrentAttemptsAllowed();
     }
 
-    /** Seconds from the first attempt to the hedged one: half of the time left at arrival, or less where bounded. */
+    /**
+     * Returns the seconds from the first attempt to the hedged one: half of the time from arrival to the deadline, up
+     * to a fixed maximum. Where the load of the fleet is known, a slow attempt is hedged earlier.
+     */
     double delaySeconds(OpenRequest request) {
         double budget = request.arrival.deadline() - request.arrivedAt;
         double delay = Math.min(MAX_DELAY_SECONDS, budget / 2);
         return load.isFleetLoadKnown() ? Math.min(delay, slowAfterSeconds(request.requestClass)) : delay;
     }
 
-    /** Whether another attempt helps: one hedge at most, and none while the whole fleet is slow. */
+    /** Whether another attempt is useful: a request gets one hedge at most, and none while the whole fleet is slow. */
     boolean isUseful(OpenRequest request) {
         if (!request.hasAttemptInFlight()) {
             return true;
         }
-        // Hedges would only double the load of a fleet that is slow as a whole.
+        // If the whole fleet is slow, hedges would only double its load.
         boolean isFleetSlow = !load.isFleetLoadKnown() && concurrencyLimit.isOverloaded();
         return request.attempts.size() <= 1 && !isFleetSlow;
     }
 
     /**
-     * Seconds in flight after which an attempt is slow: where load is known it is then hedged, and a slow one that is
-     * cancelled counts as failed.
+     * Returns the seconds in flight after which an attempt is slow. Where the load of the fleet is known, a slow
+     * attempt is hedged; a slow attempt that is cancelled counts as failed.
      */
     static double slowAfterSeconds(RequestClass requestClass) {
         return requestClass.latencyObjective() * SLOW_OBJECTIVE_SHARE;
--- a/core/src/main/java/portrelay/policy/LatencyObjectiveCheck.java
+++ b/core/src/main/java/portrelay/policy/LatencyObjectiveCheck.java
@@ -2,13 +2,13 @@
 
 import portrelay.model.TenantUsage;
 
-/** Whether a request can still be served within its latency objective. */
+/** Checks whether a request can still be served within its latency objective. */
 final class LatencyObjectiveCheck {
 
-    /** A tenant's requests may take this part of what others may, however far it exceeds its tenant share. */
+    /** Share of the allowed time that a tenant's requests keep, however far the tenant exceeds its tenant share. */
     private static final double MIN_TENANT_FACTOR = 0.7;
 
-    /** The rest, of which a tenant keeps less the further it exceeds its tenant share. */
+    /** The remaining share of the allowed time; a tenant keeps less of it the further it exceeds its tenant share. */
     private static final double VARIABLE_TENANT_FACTOR = 0.3;
 
     private final LatencyTracker latencies;
@@ -20,11 +20,11 @@
     }
 
     /**
-     * Whether the time since arrival and the expected latency together stay within a share of the latency objective.
-     * Guards against queues whose answers all come late.
+     * Whether the sum of the time since arrival and the expected latency stays within a share of the latency objective.
+     * Prevents queues in which every answer is late.
      *
-     * @param latencyRatio the expected latency as a multiple of the typical one
-     * @param objectiveShare the share for a tenant that keeps to its tenant share
+     * @param latencyRatio the expected latency as a multiple of the typical latency
+     * @param objectiveShare the share for a tenant that does not exceed its tenant share
      */
     boolean isExpectedToMeet(OpenRequest request, double latencyRatio, double objectiveShare, double nowSeconds) {
         double shareFactor = tenantUsage.shareFactor(request.arrival.tenant());
--- a/core/src/main/java/portrelay/policy/LatencyTracker.java
+++ b/core/src/main/java/portrelay/policy/LatencyTracker.java
@@ -6,58 +6,59 @@
 import portrelay.model.TypicalLatencies;
 
 /**
- * How long requests take: for each class over all upstreams, and for each upstream against the others by two ratios.
- * The latency ratio is a latency of this sidecar over the one expected there at the time; the duration ratio, which
- * peers report too, is a duration over the typical latency of its class, for each attempt in flight.
+ * Tracks how long requests take: the typical latency of each class over all upstreams, and two ratios that compare an
+ * upstream with the others. The latency ratio is the latency of an attempt of this sidecar, divided by the latency that
+ * was expected at its upstream when it was sent. The duration ratio, which peers report as well, is the duration of an
+ * attempt divided by the typical latency of its class and by the number of attempts in flight at the upstream.
  */
 final class LatencyTracker {
 
-    /** Latency ratio from which on an upstream is slow by itself, and not because of its load. */
+    /** Latency ratio at or above which an upstream itself is slow: its load alone does not explain the latency. */
     static final double SLOW_LATENCY_RATIO = 2;
 
-    /** One slow answer may be that of a new connection, or of cold code. */
+    /** More than one, as a single slow answer may be due to a new connection or to cold code. */
     private static final int MIN_SLOW_SAMPLES = 2;
 
-    /** Older samples of an upstream are ignored: it may have recovered. */
+    /** Older samples are ignored, as the upstream may have recovered since. */
     private static final double MAX_SAMPLE_AGE_SECONDS = 5;
 
-    /** One latency counts at most so many times the expected one. */
+    /** Upper bound on a single latency ratio sample. */
     private static final double MAX_LATENCY_RATIO_SAMPLE = 4;
 
     private static final int FLEET_DURATION_SAMPLES = 128;
 
-    /** The mean over all upstreams counts as so many samples of each. */
+    /** Weight, in samples, of the mean over all upstreams in the mean of each upstream. */
     private static final double FLEET_DURATION_PRIOR_SAMPLES = 2;
 
-    /** The latency objective over the latency that is assumed before any is known. */
-    private static final double OBJECTIVE_OVER_PRIOR = 3;
+    /** The latency objective divided by the latency that is assumed before any is known. */
+    private static final double OBJECTIVE_TO_PRIOR_RATIO = 3;
 
     private final TypicalLatencies typicalLatencies;
     private final Samples fleetDurationRatios = new Samples(FLEET_DURATION_SAMPLES);
 
-    LatencyTracker(int requestClasses) {
-        typicalLatencies = new TypicalLatencies(requestClasses);
+    LatencyTracker(int requestClassCount) {
+        typicalLatencies = new TypicalLatencies(requestClassCount);
     }
 
-    /** Seconds that a served request of the class takes; the prior counts as one sample. */
+    /** Returns the mean latency of served requests of the class, in seconds; the prior counts as one sample. */
     double typicalSeconds(RequestClass requestClass, double priorSeconds) {
         return typicalLatencies.mean(requestClass.id(), 1, priorSeconds);
     }
 
-    /** The same, with a prior from the latency objective. */
+    /** Returns the mean latency of served requests of the class, with a prior derived from the latency objective. */
     double typicalSeconds(RequestClass requestClass) {
-        return typicalSeconds(requestClass, requestClass.latencyObjective() / OBJECTIVE_OVER_PRIOR);
+        return typicalSeconds(requestClass, requestClass.latencyObjective() / OBJECTIVE_TO_PRIOR_RATIO);
     }
 
-    /** The upstream's recent latency over the expected one; 1 where nothing is known. */
+    /** Returns the upstream's mean recent latency ratio; 1 if there are no recent samples. */
     double latencyRatio(UpstreamState upstream, double nowSeconds) {
         return upstream.latencyRatios.mean(nowSeconds - MAX_SAMPLE_AGE_SECONDS, 1, 1);
     }
 
     /**
-     * Whether the upstream is slow by itself: its recent latencies are, and more than one of them.
+     * Whether the upstream itself is slow: its mean recent latency ratio is high, and so is more than one sample.
      *
-     * @param latencyRatio that of {@link #latencyRatio} at the time
+     * @param latencyRatio the result of {@link #latencyRatio} for the same upstream and time
      */
     boolean isSlow(UpstreamState upstream, double latencyRatio, double nowSeconds) {
         return latencyRatio >= SLOW_LATENCY_RATIO
@@ -65,32 +66,37 @@
                         >= MIN_SLOW_SAMPLES;
     }
 
-    /** The upstream's recent duration per attempt in flight, over the typical latency. */
+    /** Returns the upstream's mean recent duration ratio; the mean over all upstreams counts as a few samples. */
     double durationRatio(UpstreamState upstream, double nowSeconds) {
         return upstream.durationRatios.mean(
                 nowSeconds - MAX_SAMPLE_AGE_SECONDS, FLEET_DURATION_PRIOR_SAMPLES, fleetDurationRatios.mean(1));
     }
 
-    /** Records an attempt's latency; that of an unanswered one counts where it is above the mean already. */
+    /** Records the latency of an attempt; an unanswered one counts only if it exceeds the expected latency. */
     void attemptEnded(OpenRequest request, Attempt attempt, double nowSeconds) {
-        double elapsed = nowSeconds - attempt.sentAt;
-        double perExpected = elapsed / attempt.expectedLatencyRatio;
+        double elapsedSeconds = nowSeconds - attempt.sentAt;
+        double normalizedSeconds = elapsedSeconds / attempt.expectedLatencyRatio;
         boolean isServed = attempt.outcome == Outcome.SERVED;
-        double expected =
-                attempt.expectedLatencyRatio * typicalLatencies.mean(request.arrival.requestClass(), 0, perExpected);
+        double expectedSeconds = attempt.expectedLatencyRatio
+                * typicalLatencies.mean(request.arrival.requestClass(), 0, normalizedSeconds);
         if (isServed) {
-            typicalLatencies.record(request.arrival.requestClass(), nowSeconds, perExpected);
+            typicalLatencies.record(request.arrival.requestClass(), nowSeconds, normalizedSeconds);
         }
-        if (expected > 0 && (isServed || !attempt.outcome.provablyNotExecuted && elapsed > expected)) {
-            attempt.upstream.latencyRatios.add(nowSeconds, Math.min(elapsed / expected, MAX_LATENCY_RATIO_SAMPLE));
+        if (expectedSeconds > 0
+                && (isServed || !attempt.outcome.provablyNotExecuted && elapsedSeconds > expectedSeconds)) {
+            attempt.upstream.latencyRatios.add(
+                    nowSeconds, Math.min(elapsedSeconds / expectedSeconds, MAX_LATENCY_RATIO_SAMPLE));
         }
     }
 
-    /** Records the duration of an attempt of any sidecar; one that was given up took that long at least. */
+    /**
+     * Records the duration ratio of an attempt of any sidecar. For an attempt that was not served the duration is only
+     * a lower bound, so it counts only if it exceeds the upstream's mean.
+     */
     void recordDuration(UpstreamState upstream, boolean isServed, double durationRatio, double nowSeconds) {
         if (isServed || durationRatio > durationRatio(upstream, nowSeconds)) {
             upstream.durationRatios.add(nowSeconds, durationRatio);
-            // An unanswered attempt shows the state of its upstream, not of the fleet.
+            // An unanswered attempt is a sign of the state of its upstream, not of the fleet.
             fleetDurationRatios.add(isServed ? durationRatio : fleetDurationRatios.mean(1));
         }
     }
--- a/core/src/main/java/portrelay/policy/LimitFeedback.java
+++ b/core/src/main/java/portrelay/policy/LimitFeedback.java
@@ -3,7 +3,7 @@
 import portrelay.model.AdaptiveLimit;
 import portrelay.model.Outcome;
 
-/** What ended attempts tell the concurrency limit: late ones lower it, unless they are their upstream's own fault. */
+/** Reports ended attempts to the concurrency limit: late attempts lower it, unless only their upstream is at fault. */
 final class LimitFeedback {
 
     /** Share of the latency objective above which an attempt is late. */
@@ -17,21 +17,23 @@
         this.latencies = latencies;
     }
 
-    /** Called before the attempt's latency is recorded. */
+    /** Reports an ended attempt. Must be called before the latency of the attempt is recorded. */
     void attemptEnded(OpenRequest request, Attempt attempt, boolean isUpstreamWarm, double nowSeconds) {
         UpstreamState upstream = attempt.upstream;
         boolean isServed = attempt.outcome == Outcome.SERVED;
-        // Where enough later attempts were answered promptly it is lost, not queued: a lower limit would not help it.
+        // If enough later attempts were answered promptly, this one is lost rather than queued: lowering the limit
+        // would not help.
         boolean isLost = !isServed && upstream.promptSendTimes.allAbove(attempt.sentAt);
         double lateAfterSeconds = request.requestClass.latencyObjective() * LATE_OBJECTIVE_SHARE;
         boolean isLate = nowSeconds - attempt.sentAt > lateAfterSeconds && !isLost;
         if (isServed && !isLate) {
             upstream.promptSendTimes.add(nowSeconds, attempt.sentAt);
         }
-        // Where no sidecar had an answer since, that upstream is unresponsive and the fleet is not full.
+        // If no sidecar has had an answer from this upstream since, the upstream is unresponsive and the fleet is not
+        // overloaded.
         boolean isUnresponsive = !isServed && upstream.peerInFlight.unansweredSince(attempt.sentAt);
         boolean isSlowUpstream = latencies.latencyRatio(upstream, nowSeconds) >= LatencyTracker.SLOW_LATENCY_RATIO;
-        boolean tellsOfFleet = isUpstreamWarm && !isUnresponsive && !isSlowUpstream;
-        concurrencyLimit.attemptEnded(nowSeconds, attempt.sentAt, isLate, tellsOfFleet);
+        boolean reflectsFleetLoad = isUpstreamWarm && !isUnresponsive && !isSlowUpstream;
+        concurrencyLimit.attemptEnded(nowSeconds, attempt.sentAt, isLate, reflectsFleetLoad);
     }
 }
--- a/core/src/main/java/portrelay/policy/LoadBalancer.java
+++ b/core/src/main/java/portrelay/policy/LoadBalancer.java
@@ -24,12 +24,13 @@
 import portrelay.model.WatchSchedule;
 
 /**
- * The load balancer of one sidecar. Events are given in the order in which they happen, each with its time in seconds;
- * what follows is done through {@link LoadBalancerActions} before the call returns. One thread calls; no call blocks.
+ * The load balancer of one sidecar. The caller passes in events in the order in which they happen, each with its time
+ * in seconds; the resulting actions are executed through {@link LoadBalancerActions} before the call returns. Not
+ * thread-safe: a single thread makes all calls. No call blocks.
  */
 public final class LoadBalancer {
 
-    /** Over so many of the last requests the share of each tenant is counted. */
+    /** The number of recent requests over which the usage share of each tenant is measured. */
     private static final int TENANT_USAGE_SAMPLES = 128;
 
     private final LoadBalancerActions actions;
@@ -43,7 +44,7 @@
     private final AttemptTracker attempts;
     private final WatchSchedule watchSchedule;
     private final WakeUp pendingWakeUp = new WakeUp();
-    // Read by tests.
+    // Package-private for tests.
     final EndpointTable endpoints;
     final RequestLifecycle requests;
     final PendingRequestQueue queue;
@@ -52,7 +53,11 @@
 
     private double lastArrivalAt;
 
-    /** The seed decides all random draws: the same events then give the same actions. */
+    /**
+     * Creates a load balancer without upstreams.
+     *
+     * @param seed determines all random draws: the same seed and the same events give the same actions
+     */
     public LoadBalancer(LoadBalancerActions actions, long seed, LoadBalancerConfig config) {
         this.actions = actions;
         this.config = config;
@@ -65,7 +70,7 @@
         observations = new Observations(
                 latencies, new OutlierDetector(), concurrencyLimit, tenantUsage, new IdleConnectionAge());
         endpoints = new EndpointTable(config.topology(), config.maxDeadline(), random);
-        fleet = fleetState();
+        fleet = createFleetState();
         peerReports = new PeerReports(fleet, observations);
         attempts = new AttemptTracker(actions, fleet, observations, peerReports);
         RetryPolicy retries = new RetryPolicy(rules, fleet.load());
@@ -89,7 +94,7 @@
                 attempts);
     }
 
-    /** The sidecar has started; endpoint lists may have come before. */
+    /** Starts the load balancer. Endpoint lists may already have been received. */
     public void start(double time) {
         nowSeconds = time;
         fleet.subset().start(endpoints.upstreams(), time);
@@ -97,9 +102,9 @@
         wakeUp(time);
     }
 
-    /** A request has arrived; its id is that of no open request. */
+    /** Handles the arrival of a request. Its id must differ from those of all open requests. */
     public void requestArrived(double time, RequestArrival arrival) {
-        fleet.slowStart().elapsed(time - lastArrivalAt, fleet.subsetUpstreams(), time);
+        fleet.slowStart().timeElapsed(time - lastArrivalAt, fleet.subsetUpstreams(), time);
         nowSeconds = time;
         lastArrivalAt = time;
         RequestClass requestClass =
@@ -109,34 +114,38 @@
         requestWakeUp();
     }
 
-    /** What an upstream reports of its load; null where it did not answer the probe in time. */
+    /**
+     * Handles the answer to a load probe.
+     *
+     * @param report null if the upstream did not answer the probe in time
+     */
     public void loadReported(double time, UpstreamId id, LoadReport report) {
         nowSeconds = time;
         UpstreamState upstream = endpoints.get(id);
         if (upstream != null) {
-            probes.reported(upstream, report, each -> requests.move(each, each.inputAfterProbes, time), time);
+            probes.recordResult(upstream, report, each -> requests.applyInput(each, each.inputAfterProbes, time), time);
         }
         requestWakeUp();
     }
 
-    /** A message of another sidecar; one that is malformed or of another subset changes nothing. */
-    public void peerMessageReceived(double time, int from, String text) {
+    /** Handles a message from a peer. A message that is malformed or belongs to another subset is ignored. */
+    public void peerMessageReceived(double time, int fromSidecar, String text) {
         nowSeconds = time;
         if (!fleet.subset().isActive()) {
             return;
         }
-        if (peerReports.receive(from, text, time)) {
+        if (peerReports.receive(fromSidecar, text, time)) {
             requests.dequeue(time);
         }
         requestWakeUp();
     }
 
     /**
-     * An attempt has ended; one that is not known, or has ended already, changes nothing.
+     * Handles the end of an attempt. An attempt that is unknown or has already ended is ignored.
      *
      * @param attempt the number of the attempt, from 0 in the order of {@link LoadBalancerActions#sendAttempt}
-     * @param isRequestEnded whether the client has got its answer by this attempt
-     * @param report not used: load comes from probes and peers
+     * @param isRequestEnded whether this attempt has ended the request for the client
+     * @param report not used: the load is known from probes and peers
      */
     public void attemptEnded(
             double time, RequestId id, int attempt, Outcome outcome, boolean isRequestEnded, LoadReport report) {
@@ -147,39 +156,40 @@
                 || !request.attempts.get(attempt).isInFlight()) {
             return;
         }
-        Attempt ended = request.attempts.get(attempt);
-        attempts.end(request, ended, outcome, time);
+        Attempt endedAttempt = request.attempts.get(attempt);
+        attempts.end(request, endedAttempt, outcome, time);
         endpoints.removeGone();
         if (isRequestEnded && request.state() != RequestState.CLOSED) {
-            request.answeredAttempt = ended;
-            requests.move(request, outcome == Outcome.SERVED ? RequestInput.SERVED : RequestInput.CLIENT_LEFT, time);
+            request.answeredAttempt = endedAttempt;
+            requests.applyInput(
+                    request, outcome == Outcome.SERVED ? RequestInput.SERVED : RequestInput.CLIENT_LEFT, time);
         } else {
-            requests.move(request, RequestInput.ATTEMPT_ENDED, time);
+            requests.applyInput(request, RequestInput.ATTEMPT_ENDED, time);
         }
         requests.dequeue(time);
         requestWakeUp();
     }
 
     /**
-     * Whether a request that arrived now would find capacity, with none queued before it.
+     * Whether a request that arrived now would find capacity and no queued requests ahead of it.
      *
-     * @param time not used: the answer holds for the time of the last event
+     * @param time not used: the result holds for the time of the last event
      */
     public boolean hasCapacity(double time) {
-        return !queue.hasWaiting() && eligibility.hasCapacity(nowSeconds);
+        return !queue.hasQueued() && eligibility.hasCapacity(nowSeconds);
     }
 
-    /** The client of a request waits no more. */
+    /** Handles that the client of a request has left. */
     public void clientLeft(double time, RequestId id) {
         nowSeconds = time;
         OpenRequest request = requests.get(id);
         if (request != null) {
-            requests.move(request, RequestInput.CLIENT_LEFT, time);
+            requests.applyInput(request, RequestInput.CLIENT_LEFT, time);
         }
         requestWakeUp();
     }
 
-    /** The time of {@link LoadBalancerActions#wakeUpAt} has come; an early or a needless call does no harm. */
+    /** Handles a wake-up that {@link LoadBalancerActions#wakeUpAt} requested. An early or spurious call is harmless. */
     public void wakeUp(double time) {
         nowSeconds = time;
         pendingWakeUp.fired(time);
@@ -192,7 +202,7 @@
         requestWakeUp();
     }
 
-    /** Discovery has answered, or has failed to. */
+    /** Handles an answer of discovery, or its failure to answer. */
     public void endpointsUpdated(double time, EndpointUpdate update, List<Endpoint> rows) {
         nowSeconds = time;
         if (update == EndpointUpdate.FAILED) {
@@ -211,7 +221,10 @@
         requestWakeUp();
     }
 
-    /** An operator disables or enables an upstream; while disabled it gets nothing, whatever the list says. */
+    /**
+     * Disables or enables an upstream on behalf of an operator. A disabled upstream gets no attempts, whatever health
+     * the endpoint list gives for it.
+     */
     public void setDisabled(double time, UpstreamId id, boolean isDisabled) {
         nowSeconds = time;
         if (endpoints.setDisabled(id, isDisabled, time)) {
@@ -221,7 +234,7 @@
         requestWakeUp();
     }
 
-    private FleetState fleetState() {
+    private FleetState createFleetState() {
         Topology topology = config.topology();
         Subset subset = new Subset(actions, topology);
         SlowStart slowStart = new SlowStart(config.slowStart(), topology.sidecarCount());
--- a/core/src/main/java/portrelay/policy/LoadEstimator.java
+++ b/core/src/main/java/portrelay/policy/LoadEstimator.java
@@ -3,13 +3,13 @@
 import portrelay.model.IdleConnectionAge;
 import portrelay.model.Topology;
 
-/** What is known of the load of upstreams: from probes, from peers, or from this sidecar's own attempts alone. */
+/** Estimates the load of upstreams from probes, from peer reports, or from this sidecar's own attempts alone. */
 final class LoadEstimator {
 
-    /** Where the oldest attempt is in flight for longer with none served since, the upstream's load is unknown. */
+    /** The load is unknown if the oldest attempt has been in flight for longer and none was served since it started. */
     private static final double MAX_UNANSWERED_SECONDS = 0.3;
 
-    /** A load report older than two timeouts of a probe says nothing of the load now. */
+    /** A load report older than two probe timeouts no longer shows the current load. */
     private static final double MAX_REPORT_AGE_SECONDS = 2 * LoadProbes.TIMEOUT_SECONDS;
 
     private final Topology topology;
@@ -37,24 +37,24 @@
         this.isFleetLoadKnown = topology.probesLoad() || topology.sharesLoad() && !topology.rendezvousSubsets();
     }
 
-    /** The endpoint list has changed; its weights may show the load of the fleet. */
+    /** Updates the mean load of the fleet after a change of the endpoint list, whose weights may show it. */
     void endpointsChanged() {
         if (subset.isActive()) {
             meanLoadPerCore = endpoints.meanOfReady(each -> each.loadWeight.inFlight() / each.loadWeight.cores());
         }
     }
 
-    /** Whether probes or peers tell the load of upstreams well enough to send by it. */
+    /** Whether probes or peer reports show the load of upstreams well enough to select upstreams by it. */
     boolean isFleetLoadKnown() {
         return isFleetLoadKnown;
     }
 
-    /** Mean in flight per core over the fleet as the last lists showed it; 0 where they do not. */
+    /** Returns the mean attempts in flight per core over the fleet, as recent lists show it; 0 if they do not. */
     double meanLoadPerCore() {
         return meanLoadPerCore;
     }
 
-    /** Attempts in flight at the upstream, of all sidecars as far as that is known. */
+    /** Returns the attempts in flight at the upstream, of all sidecars as far as they are known. */
     double inFlight(UpstreamState upstream, double nowSeconds) {
         if (!subset.isActive()) {
             return upstream.reportedInFlight;
@@ -63,14 +63,15 @@
         return Math.max(upstream.peerInFlight.inFlight(nowSeconds), listedInFlight);
     }
 
-    /** The same, of this sidecar's attempts alone where no peer reports any. */
+    /** Returns the attempts in flight at the upstream; only those of this sidecar if peers report none. */
     double inFlightWithoutProbes(UpstreamState upstream, double nowSeconds) {
         return subset.isActive() ? inFlight(upstream, nowSeconds) : upstream.inFlight;
     }
 
     /**
-     * Whether its load is unknown: it has answered no recent probe or, where sidecars share it, none of their attempts
-     * for some time; or an attempt is in flight on a connection that had been idle, while such connections are dropped.
+     * Whether the load of the upstream is unknown. With probes, that is so if it has answered no recent probe. Where
+     * peers share the upstream, it is so if it has answered none of their attempts for some time, or if an attempt is
+     * in flight on a connection that had been idle while idle connections are being dropped.
      */
     boolean isUnknown(UpstreamState upstream, double nowSeconds) {
         if (!subset.isActive()) {
@@ -80,21 +81,24 @@
                 || upstream.inFlightOnIdleConnections > 0 && idleConnectionAge.isDropping(nowSeconds);
     }
 
-    /** Whether no sidecar that shares it got an answer for longer than any request in time may take. */
+    /** Whether no sidecar that shares the upstream has had an answer from it for longer than any latency objective. */
     boolean isUnresponsive(UpstreamState upstream, double nowSeconds) {
         return topology.rendezvousSubsets()
                 && !subset.arePeersSilent(nowSeconds)
                 && upstream.peerInFlight.unansweredFor(nowSeconds) > maxLatencyObjectiveSeconds;
     }
 
-    /** Expected latency of one more attempt there, as a multiple of the typical one; 1 where no load is known. */
+    /**
+     * Returns the expected latency of one more attempt at the upstream, as a multiple of the typical latency; 1 if the
+     * load of the fleet is unknown.
+     */
     double expectedLatencyRatio(UpstreamState upstream, double nowSeconds) {
         if (!isFleetLoadKnown) {
             return 1;
         }
         double capacity =
                 Math.max(upstream.capacity, Double.MIN_NORMAL) * slowStart.capacityShare(upstream, nowSeconds);
-        double perCore = (inFlight(upstream, nowSeconds) + 1) / upstream.loadWeight.cores();
-        return Math.max(1, perCore) / capacity;
+        double inFlightPerCore = (inFlight(upstream, nowSeconds) + 1) / upstream.loadWeight.cores();
+        return Math.max(1, inFlightPerCore) / capacity;
     }
 }
--- a/core/src/main/java/portrelay/policy/LoadProbes.java
+++ b/core/src/main/java/portrelay/policy/LoadProbes.java
@@ -10,22 +10,26 @@
 import portrelay.model.Topology;
 
 /**
- * Rounds of load probes: where upstreams report their load to probes alone, a few random ones are probed before an
- * attempt is sent. The first idle one ends the round.
+ * Runs rounds of load probes. Where upstreams report their load only in answer to probes, a few random upstreams are
+ * probed before an attempt is sent. The first upstream that reports to be idle ends the round.
  */
 final class LoadProbes {
 
-    /** A probe takes 1 to 2 ms; an upstream that has not answered by then is paused, dead or unreachable. */
+    /**
+     * Time after which a probe has failed. A probe usually takes 1 to 2 ms; an upstream that has not answered by this
+     * time is paused, dead or unreachable.
+     */
     static final double TIMEOUT_SECONDS = 0.004;
 
     private static final int PROBES_PER_ROUND = 5;
 
     /**
-     * Draws that hit no eligible upstream, or one that is probed already, are repeated up to this many times a probe.
+     * Maximum number of random draws per probe. A draw is repeated if the upstream is not eligible or already belongs
+     * to the round.
      */
     private static final int MAX_DRAWS_PER_PROBE = 4;
 
-    /** Rounds in a row before a first attempt. */
+    /** Maximum number of rounds before the first attempt of a request. */
     private static final int MAX_ROUNDS = 2;
 
     private final LoadBalancerActions actions;
@@ -33,7 +37,7 @@
     private final EndpointTable endpoints;
     private final UpstreamEligibility eligibility;
     private final SplittableRandom random;
-    private final Set<OpenRequest> waiting = new LinkedHashSet<>();
+    private final Set<OpenRequest> waitingRequests = new LinkedHashSet<>();
 
     LoadProbes(
             LoadBalancerActions actions, FleetState fleet, UpstreamEligibility eligibility, SplittableRandom random) {
@@ -44,22 +48,23 @@
         this.random = random;
     }
 
-    /** Counts a round that begins for the request; a request with an attempt out gets no further one. */
+    /** Counts a round that begins for the request. Once an attempt has been sent, no further round may follow it. */
     void countRound(OpenRequest request) {
         request.probeRounds = request.attempts.isEmpty() ? request.probeRounds + 1 : MAX_ROUNDS;
     }
 
-    /** Whether the request may probe once more before its first attempt, where the last round found nothing idle. */
+    /** Whether the request may probe again before its first attempt, after a round that found no idle upstream. */
     boolean mayProbeAgain(OpenRequest request) {
         return topology.probesLoad() && request.probeRounds < MAX_ROUNDS && !request.arrival.retriedByClient();
     }
 
     /**
-     * Probes random eligible upstreams for the request.
+     * Starts a round: probes random eligible upstreams for the request.
      *
-     * @return whether the request now waits for probes; false where there is nothing to probe
+     * @return whether the request now waits for probes; false if there is no upstream to probe, or no time for it
+     *     before the deadline
      */
-    boolean start(OpenRequest request, double nowSeconds) {
+    boolean startRound(OpenRequest request, double nowSeconds) {
         if (!topology.probesLoad() || nowSeconds + TIMEOUT_SECONDS >= request.arrival.deadline()) {
             return false;
         }
@@ -69,9 +74,9 @@
         int maxDraws = upstreams.isEmpty() ? 0 : PROBES_PER_ROUND * MAX_DRAWS_PER_PROBE;
         for (int draw = 0; draw < maxDraws && outstanding.size() < PROBES_PER_ROUND; draw++) {
             UpstreamState upstream = upstreams.get(random.nextInt(upstreams.size()));
-            boolean isProbed = !(upstream.isEjected() && nowSeconds < upstream.ejectedUntil)
+            boolean isCandidate = !(upstream.isEjected() && nowSeconds < upstream.ejectedUntil)
                     && eligibility.isEligible(request, upstream, nowSeconds);
-            if (isProbed && outstanding.add(upstream) && !upstream.isProbeOutstanding) {
+            if (isCandidate && outstanding.add(upstream) && !upstream.isProbeOutstanding) {
                 upstream.isProbeOutstanding = true;
                 actions.probeLoad(upstream.id);
             }
@@ -79,32 +84,33 @@
         if (outstanding.isEmpty()) {
             return false;
         }
-        waiting.add(request);
+        waitingRequests.add(request);
         return true;
     }
 
-    /** The request waits for no probe any more. */
-    void stop(OpenRequest request) {
-        waiting.remove(request);
+    /** Ends the round of the request, if there is one. Answers to its probes are still recorded. */
+    void endRound(OpenRequest request) {
+        waitingRequests.remove(request);
     }
 
     /**
-     * A probe was answered, or timed out where the report is null.
+     * Records the answer to a probe, or its timeout if the report is null.
      *
-     * @param whenDone called for each request whose round ends by this, in the order in which the rounds began
+     * @param onRoundEnded called for each request whose round this ends, in the order in which the rounds began
      */
-    void reported(UpstreamState upstream, LoadReport report, Consumer<OpenRequest> whenDone, double nowSeconds) {
+    void recordResult(
+            UpstreamState upstream, LoadReport report, Consumer<OpenRequest> onRoundEnded, double nowSeconds) {
         upstream.isProbeOutstanding = false;
         if (report != null && report.inFlight() >= 0) {
             upstream.reportedInFlight = Math.rint(report.inFlight());
             upstream.reportedAt = nowSeconds;
         }
-        for (OpenRequest each : List.copyOf(waiting)) {
-            // Read anew each time: a request that goes there in this loop makes it busy.
-            if (each.outstandingProbes.remove(upstream)
-                    && (each.outstandingProbes.isEmpty() || isReportedIdle(upstream, nowSeconds))) {
-                waiting.remove(each);
-                whenDone.accept(each);
+        for (OpenRequest request : List.copyOf(waitingRequests)) {
+            // Evaluated again for each request: an attempt sent earlier in this loop makes the upstream busy.
+            if (request.outstandingProbes.remove(upstream)
+                    && (request.outstandingProbes.isEmpty() || isReportedIdle(upstream, nowSeconds))) {
+                waitingRequests.remove(request);
+                onRoundEnded.accept(request);
             }
         }
     }
--- a/core/src/main/java/portrelay/policy/Observations.java
+++ b/core/src/main/java/portrelay/policy/Observations.java
@@ -4,7 +4,7 @@
 import portrelay.model.IdleConnectionAge;
 import portrelay.model.TenantUsage;
 
-/** What requests and the outcomes of attempts have shown. */
+/** The statistics and adaptive limits that are learned from requests and from the outcomes of attempts. */
 record Observations(
         LatencyTracker latencies,
         OutlierDetector outliers,
--- a/core/src/main/java/portrelay/policy/OpenRequest.java
+++ b/core/src/main/java/portrelay/policy/OpenRequest.java
@@ -10,21 +10,21 @@
 import portrelay.model.RequestState;
 import portrelay.model.TransitionTable;
 
-/** A request from its arrival until its last attempt has ended. {@link RequestLifecycle} moves it between states. */
+/** A request from its arrival until its last attempt has ended. {@link RequestLifecycle} changes its state. */
 final class OpenRequest extends TransitionTable.Subject<RequestState> {
 
     final RequestArrival arrival;
     final RequestClass requestClass;
     final double arrivedAt;
-    /** In the order in which they were sent. */
+    /** All attempts, in the order in which they were sent. */
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Upstreams probed for it that have not answered yet. */
+    /** The upstreams that are probed for this request and have not answered yet. */
     final Set<UpstreamState> outstandingProbes = new HashSet<>();
-    /** What follows when its probes are done. */
+    /** The input that the request gets when its probing ends. */
     RequestInput inputAfterProbes;
 
     int probeRounds;
-    /** The attempt whose answer the client got; null while there is none. */
+    /** The attempt that ended the request for the client; null while there is none. */
     Attempt answeredAttempt;
 
     OpenRequest(RequestArrival arrival, RequestClass requestClass, double arrivedAt) {
@@ -34,7 +34,7 @@
         this.arrivedAt = arrivedAt;
     }
 
-    /** The first attempt that the upstream may have executed; null where none may have been. */
+    /** Returns the first attempt that its upstream may have executed; null if there is none. */
     Attempt firstPossiblyExecuted() {
         return attempts.stream().filter(Attempt::mayHaveExecuted).findFirst().orElse(null);
     }
--- a/core/src/main/java/portrelay/policy/OutlierDetector.java
+++ b/core/src/main/java/portrelay/policy/OutlierDetector.java
@@ -5,27 +5,30 @@
 import portrelay.model.Samples;
 import portrelay.model.SequentialTest;
 
-/** Ejects upstreams that fail or lose against hedged attempts, and lets a trial show when they work again. */
+/**
+ * Ejects upstreams that fail, or whose first attempts are overtaken by hedged attempts. Trial requests show when an
+ * ejected upstream has recovered.
+ */
 final class OutlierDetector {
 
-    /** From an ejection, or a failed trial, to the next trial. */
+    /** Time from an ejection, or from a failed trial request, to the next trial request. */
     private static final double EJECTION_SECONDS = 5.0;
 
-    /** Recent attempts of all upstreams that show their usual failure share. */
+    /** Number of recent attempts, over all upstreams, that the usual failure share is measured on. */
     private static final int FLEET_SAMPLES = 64;
 
-    /** The usual failure share counts as at least this: few samples may show none. */
+    /** Lower bound on the usual failure share, as a few samples may contain no failure. */
     private static final double MIN_FLEET_FAILURE_SHARE = 0.05;
-    /** It counts as at most this, so that an upstream which fails nearly always still stands out. */
+    /** Upper bound on the usual failure share, so that an upstream that nearly always fails still stands out. */
     private static final double MAX_FLEET_FAILURE_SHARE = 0.2;
 
-    private static final SequentialTest TEST =
+    private static final SequentialTest FAILURE_TEST =
             new SequentialTest(UpstreamState.EJECTION_EVIDENCE, MIN_FLEET_FAILURE_SHARE, MAX_FLEET_FAILURE_SHARE);
 
     /** 1 for each recent attempt of any upstream that failed, 0 for each that did not. */
     private final Samples fleetFailures = new Samples(FLEET_SAMPLES);
 
-    /** Learns from an attempt that has ended; its outcome is set already. */
+    /** Records an ended attempt. The outcome of the attempt must already be set. */
     void attemptEnded(OpenRequest request, Attempt attempt, double nowSeconds) {
         UpstreamState upstream = attempt.upstream;
         boolean isServed = attempt.outcome == Outcome.SERVED;
@@ -50,19 +53,20 @@
     }
 
     /**
-     * Wald's sequential test on outcomes, against the failure share of all upstreams. Guards sidecars of little
-     * traffic, whose count of lost hedges is cleared by each answer between two failures.
+     * Records an outcome for Wald's sequential test against the failure share of all upstreams. The test also detects
+     * failing upstreams in sidecars with little traffic, where each answer between two failures clears the count of
+     * lost hedges.
      */
     void recordOutcome(UpstreamState upstream, boolean isFailed, double nowSeconds) {
         boolean wasEjected = upstream.isEjected();
-        upstream.failureEvidence = TEST.after(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
+        upstream.failureEvidence = FAILURE_TEST.after(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
         fleetFailures.add(nowSeconds, isFailed ? 1 : 0);
         if (!wasEjected && upstream.isEjected()) {
             upstream.ejectedUntil = nowSeconds + EJECTION_SECONDS;
         }
     }
 
-    /** Counts the hedged requests in a row that were served while the first attempt was still unanswered. */
+    /** Counts the consecutive hedged requests that were served while the first attempt was still unanswered. */
     private static void recordHedgeResult(OpenRequest request, Attempt served, double nowSeconds) {
         Attempt first = request.attempts.get(0);
         if (served == first) {
--- a/core/src/main/java/portrelay/policy/PeerReports.java
+++ b/core/src/main/java/portrelay/policy/PeerReports.java
@@ -8,7 +8,7 @@
 import portrelay.model.TenantUsage;
 import portrelay.model.Topology;
 
-/** What this sidecar reports of its attempts to the peers that share its upstreams, and what it learns from theirs. */
+/** Reports attempts of this sidecar to the peers that share its upstreams, and records the reports of those peers. */
 final class PeerReports {
 
     private static final int NO_TENANT = -1;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Takes over a peer's message; one that is malformed or of another subset changes nothing.
+     * Processes a message from a peer. A message that is malformed or belongs to another subset is ignored.
      *
-     * @return whether an attempt of a peer has ended, so that there may be capacity
+     * @return whether an attempt of a peer has ended, so that there may be capacity for queued requests
      */
     boolean receive(int fromSidecar, String text, double nowSeconds) {
         AttemptReport report = subset.receive(fromSidecar, text, nowSeconds);
@@ -43,7 +43,7 @@
             idleConnectionAge.recordLost(report.measure(), nowSeconds);
             return false;
         }
-        UpstreamState upstream = subset.upstreamOf(report.code());
+        UpstreamState upstream = subset.upstreamByCode(report.code());
         if (upstream == null) {
             return false;
         }
@@ -60,7 +60,7 @@
         return true;
     }
 
-    /** Reports an attempt of this sidecar that is being sent. */
+    /** Reports the start of an attempt of this sidecar. */
     void attemptStarted(OpenRequest request, Attempt attempt, double nowSeconds) {
         if (!subset.isActive()) {
             return;
@@ -72,21 +72,21 @@
         }
     }
 
-    /** Reports the end of an attempt of this sidecar; its outcome is set. */
+    /** Reports the end of an attempt of this sidecar. The outcome of the attempt must already be set. */
     void attemptEnded(OpenRequest request, Attempt attempt, double nowSeconds) {
         if (!subset.isActive()) {
             return;
         }
         UpstreamState upstream = attempt.upstream;
         boolean isServed = attempt.outcome == Outcome.SERVED;
-        boolean isConnectionLost = isLostWithIdleConnection(attempt);
+        boolean isConnectionLost = isLostOnIdleConnection(attempt);
         boolean isFailed = !isConnectionLost && isFailure(request, attempt, nowSeconds);
         AttemptEvent event = isServed ? AttemptEvent.SERVED : isFailed ? AttemptEvent.FAILED : AttemptEvent.DROPPED;
         upstream.peerInFlight.attemptEnded(topology.sidecarIndex(), event, nowSeconds);
         upstream.inFlightOnIdleConnections -= attempt.connectionIdleSeconds > 0 ? 1 : 0;
         upstream.lastServedAt = isServed ? nowSeconds : upstream.lastServedAt;
         if (isConnectionLost) {
-            connectionLost(attempt.connectionIdleSeconds, nowSeconds);
+            reportConnectionLost(attempt.connectionIdleSeconds, nowSeconds);
         } else if (isFailed && attempt.outcome == Outcome.CANCELLED) {
             outliers.recordOutcome(upstream, true, nowSeconds);
         }
@@ -99,16 +99,20 @@
         }
     }
 
-    /** Enough later attempts were served there: not the upstream is at fault but the connection, which was idle. */
-    private static boolean isLostWithIdleConnection(Attempt attempt) {
-        int overtakenFrom = attempt.servedBefore + attempt.inFlightWhenSent - 1;
+    /**
+     * Whether the attempt was lost because its connection, which had been idle, was dropped. The upstream is not at
+     * fault if it has served enough later attempts.
+     */
+    private static boolean isLostOnIdleConnection(Attempt attempt) {
+        // If the upstream answers in order, it has served this many attempts when the answer to this one is due.
+        int servedCountWhenDue = attempt.servedCountWhenSent + attempt.inFlightWhenSent - 1;
         return attempt.outcome != Outcome.SERVED
                 && !attempt.outcome.provablyNotExecuted
                 && attempt.connectionIdleSeconds > 0
-                && attempt.upstream.peerInFlight.servedCount() >= overtakenFrom + UpstreamState.OVERTAKING_ANSWERS;
+                && attempt.upstream.peerInFlight.servedCount() >= servedCountWhenDue + UpstreamState.OVERTAKING_ANSWERS;
     }
 
-    /** A cancelled attempt counts as failed where it had been slow already. */
+    /** Whether the attempt counts as failed; a cancelled attempt does if it was already slow. */
     private static boolean isFailure(OpenRequest request, Attempt attempt, double nowSeconds) {
         if (attempt.outcome == Outcome.CANCELLED) {
             return nowSeconds - attempt.sentAt > HedgingPolicy.slowAfterSeconds(request.requestClass);
@@ -116,7 +120,7 @@
         return attempt.outcome != Outcome.SERVED && !attempt.outcome.provablyNotExecuted;
     }
 
-    private void connectionLost(double idleSeconds, double nowSeconds) {
+    private void reportConnectionLost(double idleSeconds, double nowSeconds) {
         boolean toAllSidecars = idleConnectionAge.hasFewSamples(nowSeconds);
         if (idleConnectionAge.shouldBroadcast(idleSeconds, nowSeconds)) {
             subset.sendConnectionLost(idleSeconds, toAllSidecars);
--- a/core/src/main/java/portrelay/policy/PendingRequestQueue.java
+++ b/core/src/main/java/portrelay/policy/PendingRequestQueue.java
@@ -5,13 +5,13 @@
 import portrelay.model.RequestState;
 import portrelay.model.TenantUsage;
 
-/** The requests that wait for capacity, and which of them goes first. */
+/** The requests that are queued until there is capacity, and the order in which they get it. */
 final class PendingRequestQueue {
 
-    /** Share of the latency objective, or of a shorter deadline, that a request waits at most. */
+    /** Share of the latency objective, or of a shorter time to the deadline, for which a request is queued at most. */
     private static final double MAX_WAIT_SHARE = 0.11;
 
-    /** Taken for each class until its latency is known, so that priority weights alone decide at first. */
+    /** Latency assumed for each class until its own is known, so that at first only the priority weights decide. */
     private static final double TYPICAL_LATENCY_PRIOR_SECONDS = 0.1;
 
     private final LatencyTracker latencies;
@@ -23,14 +23,18 @@
         this.tenantUsage = tenantUsage;
     }
 
-    /** When the request stops waiting for capacity. */
-    static double waitsUntil(OpenRequest request) {
-        double budget =
+    /** Returns the time at which the request stops waiting for capacity. */
+    static double waitExpiresAt(OpenRequest request) {
+        double budgetSeconds =
                 Math.min(request.requestClass.latencyObjective(), request.arrival.deadline() - request.arrivedAt);
-        return request.arrivedAt + budget * MAX_WAIT_SHARE;
+        return request.arrivedAt + budgetSeconds * MAX_WAIT_SHARE;
     }
 
-    /** Whether it was added; false where it waits already. */
+    /**
+     * Adds the request to the queue.
+     *
+     * @return whether it was added; false if it is already in the queue
+     */
     boolean add(OpenRequest request) {
         return !requests.contains(request) && requests.add(request);
     }
@@ -39,8 +43,8 @@
         requests.remove(request);
     }
 
-    /** Forgets those that have been moved to another state. */
-    void removeEnded() {
+    /** Removes the requests whose state has changed since they were queued. */
+    void removeNoLongerQueued() {
         requests.removeIf(each -> each.state() != RequestState.QUEUED);
     }
 
@@ -48,21 +52,22 @@
         return requests.isEmpty();
     }
 
-    boolean hasWaiting() {
+    /** Whether a request in the queue still waits; others remain in it until they are removed. */
+    boolean hasQueued() {
         return requests.stream().anyMatch(each -> each.state() == RequestState.QUEUED);
     }
 
-    /** The request of the highest value, the oldest of equals: capacity goes to it, not to the oldest. */
-    OpenRequest first() {
-        OpenRequest first = requests.get(0);
-        for (OpenRequest each : requests) {
-            first = value(each) > value(first) ? each : first;
+    /** Returns the request that gets capacity first: the one of the highest priority, and of equal ones the oldest. */
+    OpenRequest highestPriority() {
+        OpenRequest highest = requests.get(0);
+        for (OpenRequest request : requests) {
+            highest = priority(request) > priority(highest) ? request : highest;
         }
-        return first;
+        return highest;
     }
 
-    /** Priority weight for each second that it typically takes, less where its tenant exceeds its tenant share. */
-    private double value(OpenRequest request) {
+    /** Returns the priority weight per second of typical latency, reduced if the tenant exceeds its tenant share. */
+    private double priority(OpenRequest request) {
         return request.requestClass.priorityWeight()
                 / latencies.typicalSeconds(request.requestClass, TYPICAL_LATENCY_PRIOR_SECONDS)
                 * tenantUsage.shareFactor(request.arrival.tenant());
--- a/core/src/main/java/portrelay/policy/RequestLifecycle.java
+++ b/core/src/main/java/portrelay/policy/RequestLifecycle.java
@@ -33,14 +33,16 @@
 import portrelay.model.TransitionTable;
 
 /**
- * The transition table of requests, and the only place that moves one: what each input does in each state.
+ * The state machine of requests: its transition table defines the effect of each input in each state. No other class
+ * changes the state of a request.
  *
- * <p>An effect runs when the state is the row's next one already. So SINGLE_ATTEMPT and HEDGED are entered before their
- * attempt is sent; where no upstream may get it, NO_UPSTREAM or PROBE_AGAIN leaves them at once.
+ * <p>An effect runs after the request has entered the next state of its row. The states SINGLE_ATTEMPT and HEDGED are
+ * therefore entered before their attempt is sent; if no upstream may get the attempt, NO_UPSTREAM or PROBE_AGAIN leaves
+ * them at once.
  */
 final class RequestLifecycle {
 
-    /** How long a request that found no upstream waits until it probes again. */
+    /** Time after which a request that found no upstream probes again. */
     private static final double PROBE_INTERVAL_SECONDS = 0.015;
 
     private static final TransitionTable<RequestState, RequestInput, RequestLifecycle, OpenRequest> TRANSITIONS =
@@ -82,7 +84,7 @@
     private final AttemptTracker attempts;
     private final Map<RequestId, OpenRequest> requests = new HashMap<>();
     private final TimerQueue<OpenRequest, RequestInput> timers = new TimerQueue<>();
-    /** The time of the event that is being decided, for the effects in the table. */
+    /** The time of the event that is being processed, for the effects in the table. */
     private double nowSeconds;
 
     RequestLifecycle(
@@ -110,14 +112,14 @@
         this.attempts = attempts;
     }
 
-    /** A request has arrived. */
-    void open(RequestArrival arrival, RequestClass requestClass, double now) {
-        OpenRequest request = new OpenRequest(arrival, requestClass, now);
+    /** Opens a request that has arrived and starts to process it. */
+    void open(RequestArrival arrival, RequestClass requestClass, double nowSeconds) {
+        OpenRequest request = new OpenRequest(arrival, requestClass, nowSeconds);
         requests.put(arrival.id(), request);
-        move(request, ARRIVED, now);
+        applyInput(request, ARRIVED, nowSeconds);
     }
 
-    /** Null where the request is not open. */
+    /** Returns the open request; null if no request of this id is open. */
     OpenRequest get(RequestId id) {
         return requests.get(id);
     }
@@ -126,54 +128,57 @@
         return requests.size();
     }
 
-    /** Gives the request an input; one that means nothing in its state changes nothing. */
-    void move(OpenRequest request, RequestInput input, double now) {
-        nowSeconds = now;
+    /** Applies an input to the request. An input that has no row for the current state is ignored. */
+    void applyInput(OpenRequest request, RequestInput input, double nowSeconds) {
+        this.nowSeconds = nowSeconds;
         TRANSITIONS.step(this, request, input);
-        // Kept until its last attempt has ended: a late outcome still tells of the upstream.
+        // Kept until its last attempt has ended, as a late outcome is still recorded for its upstream.
         if (request.state() == CLOSED && !request.hasAttemptInFlight()) {
             requests.remove(request.arrival.id());
         }
     }
 
-    void fireTimers(double now) {
-        for (TimerQueue.Timer<OpenRequest, RequestInput> timer = timers.pollDue(now);
+    /** Applies the inputs of all timers that are due. */
+    void fireTimers(double nowSeconds) {
+        for (TimerQueue.Timer<OpenRequest, RequestInput> timer = timers.pollDue(nowSeconds);
                 timer != null;
-                timer = timers.pollDue(now)) {
-            move(timer.subject(), timer.input(), now);
+                timer = timers.pollDue(nowSeconds)) {
+            applyInput(timer.subject(), timer.input(), nowSeconds);
         }
     }
 
+    /** Returns the time of the next timer of a request that is not closed; infinite if there is none. */
     double nextTimerAt() {
         return timers.nextAt(request -> request.state() != CLOSED);
     }
 
-    /** Lets queued requests try again, the most valuable first, as long as there may be capacity. */
-    void dequeue(double now) {
-        queue.removeEnded();
-        while (!queue.isEmpty() && (load.isFleetLoadKnown() || eligibility.hasCapacity(now))) {
-            OpenRequest first = queue.first();
-            move(first, DEQUEUED, now);
-            if (first.state() == QUEUED) {
+    /** Dequeues requests, those of the highest priority first, as long as there may be capacity. */
+    void dequeue(double nowSeconds) {
+        queue.removeNoLongerQueued();
+        while (!queue.isEmpty() && (load.isFleetLoadKnown() || eligibility.hasCapacity(nowSeconds))) {
+            OpenRequest request = queue.highestPriority();
+            applyInput(request, DEQUEUED, nowSeconds);
+            if (request.state() == QUEUED) {
                 return;
             }
-            queue.remove(first);
+            queue.remove(request);
         }
     }
 
-    /** Probes upstreams where that is possible and of use, and goes on at once where it is not. */
+    /** Starts a round of probes if that is possible and useful; otherwise returns the input that follows at once. */
     private RequestInput probe(OpenRequest request) {
         boolean isForHedge = request.state() == SINGLE_ATTEMPT;
         request.inputAfterProbes = isForHedge ? HEDGE_PROBES_DONE : PROBES_DONE;
         probes.countRound(request);
         boolean isHedgedAlready = isForHedge && request.attempts.size() > 1;
-        if (isHedgedAlready || !probes.start(request, nowSeconds)) {
+        if (isHedgedAlready || !probes.startRound(request, nowSeconds)) {
             return request.inputAfterProbes;
         }
         timers.schedule(nowSeconds + LoadProbes.TIMEOUT_SECONDS, request, request.inputAfterProbes);
         return null;
     }
 
+    /** Sends the first attempt and schedules its hedge, unless no upstream is suitable. */
     private RequestInput sendFirst(OpenRequest request) {
         UpstreamState upstream = select(request, true);
         boolean mayProbeAgain = probes.mayProbeAgain(request);
@@ -187,7 +192,7 @@
         return null;
     }
 
-    /** A hedged attempt, or a retry at once where none is in flight. */
+    /** Sends a hedged attempt, or a retry if no attempt is in flight. */
     private RequestInput sendAnother(OpenRequest request) {
         UpstreamState upstream = hedging.isUseful(request) ? select(request, false) : null;
         if (upstream == null) {
@@ -198,27 +203,28 @@
     }
 
     private UpstreamState select(OpenRequest request, boolean isFirstAttempt) {
-        probes.stop(request);
+        probes.endRound(request);
         return selector.select(request, isFirstAttempt, nowSeconds).upstream();
     }
 
-    /** No upstream may get it now: it waits for capacity, or for the end of the next probes. */
+    /** Queues a request that found no upstream until there is capacity, or schedules its next round of probes. */
     private RequestInput enqueue(OpenRequest request) {
-        double waitsUntil = PendingRequestQueue.waitsUntil(request);
+        double waitExpiresAt = PendingRequestQueue.waitExpiresAt(request);
         if (endpoints.areAllDisabled()) {
             return WAIT_EXPIRED;
         }
         if (topology.probesLoad()) {
             double nextProbeAt = nowSeconds + PROBE_INTERVAL_SECONDS;
             timers.schedule(nextProbeAt, request, DEQUEUED);
-            return nextProbeAt < waitsUntil && !request.arrival.retriedByClient() ? null : WAIT_EXPIRED;
+            return nextProbeAt < waitExpiresAt && !request.arrival.retriedByClient() ? null : WAIT_EXPIRED;
         }
         if (queue.add(request)) {
-            timers.schedule(waitsUntil, request, WAIT_EXPIRED);
+            timers.schedule(waitExpiresAt, request, WAIT_EXPIRED);
         }
         return null;
     }
 
+    /** Cancels the other attempts in flight, if the attempt rules allow that. */
     private RequestInput cancelOthers(OpenRequest request) {
         if (cancelAllowed) {
             for (int i = 0; i < request.attempts.size(); i++) {
@@ -231,7 +237,7 @@
         return null;
     }
 
-    /** Answers at once: a client that knows early can still be served elsewhere or come back later. */
+    /** Rejects or fails the request at once, so that its client can still be served elsewhere or retry later. */
     private RequestInput rejectOrFail(OpenRequest request) {
         if (retries.isSafeToRepeat(request)) {
             actions.reject(request.arrival.id(), retries.retryAfterSeconds(request));
--- a/core/src/main/java/portrelay/policy/RetryPolicy.java
+++ b/core/src/main/java/portrelay/policy/RetryPolicy.java
@@ -3,10 +3,10 @@
 import portrelay.model.AttemptRules;
 import portrelay.model.RequestClass;
 
-/** Whether a request may get an attempt without a second effect, and how it ends where it gets none. */
+/** Decides whether a request may be sent again without a second effect, and how it ends if it gets no attempt. */
 final class RetryPolicy {
 
-    /** Share of the latency objective after which a client may find capacity elsewhere in the fleet. */
+    /** Retry-After as a share of the latency objective: by then there may be capacity elsewhere in the fleet. */
     private static final double RETRY_AFTER_OBJECTIVE_SHARE = 0.1;
 
     private final AttemptRules rules;
@@ -18,16 +18,17 @@
     }
 
     /**
-     * Whether the request may be sent to the upstream. Guards against a second effect: where an attempt may have been
-     * executed, another goes only to upstreams that drop the repeat, and only as long as they remember.
+     * Whether the request may be sent to the upstream. Prevents a request from having its effect twice: if an attempt
+     * may have been executed, a keyed request may be sent again only to upstreams that recognise the repeat, and only
+     * within the deduplication window; an unsafe request is not sent again.
      */
     boolean allowsAttempt(OpenRequest request, UpstreamState upstream, double nowSeconds) {
         int maxAttempts = request.arrival.singleAttempt() ? 1 : rules.maxAttempts();
         if (request.attempts.size() >= maxAttempts || nowSeconds >= request.arrival.deadline()) {
             return false;
         }
-        Attempt executed = request.firstPossiblyExecuted();
-        if (executed == null) {
+        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        if (possiblyExecuted == null) {
             return true;
         }
         if (!rules.concurrentAttemptsAllowed() && request.hasAttemptInFlight()) {
@@ -38,12 +39,12 @@
             case SAFE -> true;
             case UNSAFE -> false;
             case KEYED ->
-                nowSeconds < executed.sentAt + requestClass.deduplicationWindow()
-                        && requestClass.sharesDeduplication(executed.endpoint, upstream.endpoint);
+                nowSeconds < possiblyExecuted.sentAt + requestClass.deduplicationWindow()
+                        && requestClass.sharesDeduplication(possiblyExecuted.endpoint, upstream.endpoint);
         };
     }
 
-    /** Whether the client may repeat the request anywhere without a second effect. */
+    /** Whether the client may repeat the request at any upstream without a second effect. */
     boolean isSafeToRepeat(OpenRequest request) {
         RequestClass requestClass = request.requestClass;
         boolean isDeduplicatedEverywhere = requestClass.idempotency() == RequestClass.Idempotency.KEYED
@@ -53,12 +54,12 @@
                 || request.firstPossiblyExecuted() == null;
     }
 
-    /** Seconds after which the client is told to come back. */
+    /** Returns the seconds after which the client should retry, for the Retry-After header. */
     double retryAfterSeconds(OpenRequest request) {
-        // Where no load is known, nothing says when capacity becomes free.
-        double expected = load.isFleetLoadKnown()
+        // Without a known load of the fleet, it is unknown when capacity becomes free.
+        double expectedSeconds = load.isFleetLoadKnown()
                 ? request.requestClass.latencyObjective() * RETRY_AFTER_OBJECTIVE_SHARE
                 : Double.POSITIVE_INFINITY;
-        return Math.min(rules.maxRetryAfter(), expected);
+        return Math.min(rules.maxRetryAfter(), expectedSeconds);
     }
 }
--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -11,26 +11,29 @@
 import portrelay.model.Topology;
 
 /**
- * The upstreams that this sidecar uses, and its messages to the peers that use the same ones. It is computed from the
- * endpoint list and from the members known by gossip, or by rendezvous hashing; no sidecar decides for another.
+ * The subset of upstreams that this sidecar uses, and the messages to the peers that use the same upstreams. The subset
+ * is computed from the endpoint list and the members known by gossip, or by rendezvous hashing. Each sidecar computes
+ * only its own subset.
  *
- * <p>Inactive before {@link #start} and where sidecars share no load: then every upstream belongs to it.
+ * <p>Inactive before {@link #start}, and where sidecars share no load. While inactive it contains every upstream.
  */
 final class Subset {
 
-    /** Sidecars that share one upstream at most, where there are upstreams enough. */
+    /** Maximum number of sidecars that share an upstream, if there are enough upstreams. */
     private static final int MAX_SHARING_SIDECARS = 14;
 
-    /** By rendezvous hashing a sidecar uses so many on average at least; where needed, more sidecars share each. */
+    /** Minimum mean subset size with rendezvous hashing; if necessary, more sidecars share each upstream. */
     private static final int MIN_UPSTREAMS_PER_SIDECAR = 6;
 
-    /** From news of a member to a new assignment: more news may follow at once. */
+    /** Delay from a change of the members to a new assignment, as further changes often follow at once. */
     private static final double REASSIGN_DELAY_SECONDS = 0.05;
 
-    /** Between two assignments for news of members, unless only a minority was known before. */
+    /**
+     * Minimum time between two assignments due to member changes, unless only a minority was known at the earlier one.
+     */
     private static final double REASSIGN_INTERVAL_SECONDS = 1;
 
-    /** Without any peer message for longer, what peers have in flight is unknown. */
+    /** Time without any peer message after which the attempts that peers have in flight are unknown. */
     private static final double PEER_SILENCE_SECONDS = 0.5;
 
     private final LoadBalancerActions actions;
@@ -42,7 +45,7 @@
     private Set<UpstreamState> upstreamSet = Set.of();
     private List<UpstreamState> readyUpstreams = List.of();
     private double readyCapacity;
-    /** When the next assignment is due; infinite where none is. */
+    /** The time at which the next assignment is due; infinite if none is. */
     private double nextAssignAt;
 
     private double lastAssignedAt = Double.NEGATIVE_INFINITY;
@@ -54,7 +57,7 @@
         this.topology = topology;
     }
 
-    /** Begins to share load with peers, where the topology says so. */
+    /** Starts to share load with peers, if the topology provides for that. */
     void start(List<UpstreamState> endpoints, double nowSeconds) {
         if (topology.sharesLoad()) {
             membership = new PeerMembership(actions, topology, nowSeconds);
@@ -71,27 +74,30 @@
         return membership == null || upstreamSet.contains(upstream);
     }
 
-    /** Its upstreams; all of the given ones while inactive. */
-    List<UpstreamState> among(List<UpstreamState> endpoints) {
-        return membership == null ? endpoints : upstreams;
+    /** Returns the upstreams of the subset; while inactive, all the given ones. */
+    List<UpstreamState> upstreamsOrAll(List<UpstreamState> allUpstreams) {
+        return membership == null ? allUpstreams : upstreams;
     }
 
-    /** Whether no peer of this subset has been heard for so long that what they have in flight is not known. */
+    /**
+     * Whether the subset has peers, but no peer message has arrived for so long that their attempts in flight are
+     * unknown.
+     */
     boolean arePeersSilent(double nowSeconds) {
         return membership != null
                 && membership.hasSubsetPeers()
                 && nowSeconds > membership.lastReceivedAt() + PEER_SILENCE_SECONDS;
     }
 
-    /** Reads a peer's message; null where it reports neither an attempt nor a lost connection. */
+    /** Processes a peer message and returns its report; null if it reports neither an attempt nor a lost connection. */
     PeerMembership.AttemptReport receive(int fromSidecar, String text, double nowSeconds) {
         PeerMembership.AttemptReport report = membership.receive(fromSidecar, text, nowSeconds);
         advance(nowSeconds);
         return report;
     }
 
-    /** The upstream that peers mean by the code; null where there is none. */
-    UpstreamState upstreamOf(int code) {
+    /** Returns the upstream that a code in a peer message denotes; null if there is none. */
+    UpstreamState upstreamByCode(int code) {
         if (topology.rendezvousSubsets()) {
             return upstreams.stream()
                     .filter(each -> PeerMembership.upstreamCode(each.id) == code)
@@ -101,7 +107,7 @@
         return code < 0 || code >= upstreams.size() ? null : upstreams.get(code);
     }
 
-    /** Reports an attempt to the peers that share the upstream. */
+    /** Sends an attempt event to the peers that share the upstream. */
     void send(PeerMembership.AttemptEvent event, UpstreamState upstream, int tenant, double durationRatio) {
         if (topology.rendezvousSubsets()) {
             membership.sendAttemptEvent(
@@ -111,64 +117,65 @@
         }
     }
 
-    /** Whether reports reach any peer now. */
+    /** Whether messages can be sent to peers now. */
     boolean canReport() {
         return actions.canSendToPeers();
     }
 
-    /** Reports that a connection was lost that had been idle for so long. */
+    /** Reports the loss of a connection that had been idle for the given time. */
     void sendConnectionLost(double idleSeconds, boolean toAllSidecars) {
         membership.sendConnectionLost(idleSeconds, toAllSidecars);
     }
 
-    /** The endpoint list has changed, or an operator has disabled or enabled an upstream. */
+    /** Handles a change of the endpoint list, or of the upstreams that operators have disabled. */
     void endpointsChanged(List<UpstreamState> endpoints, double nowSeconds) {
         if (membership == null) {
             return;
         }
         List<UpstreamState> ready =
                 endpoints.stream().filter(each -> each.isReady).toList();
-        // Capacities become known over time where weights move with load.
+        // With live weights, capacities become known only over time.
         nextAssignAt = ready.equals(readyUpstreams) && capacityOf(ready) == readyCapacity ? nextAssignAt : nowSeconds;
         readyUpstreams = ready;
         readyCapacity = capacityOf(ready);
         advance(nowSeconds);
     }
 
-    /** Assigns the subset anew where that is due, and sends what gossip has due. */
+    /** Recomputes the subset if that is due, and sends the gossip messages that are due. */
     void advance(double nowSeconds) {
         if (membership == null) {
             return;
         }
         if (membership.takeChanged()) {
-            double earliest = lastAssignedAt + (wasMinorityKnown ? 0 : REASSIGN_INTERVAL_SECONDS);
-            nextAssignAt = Math.min(nextAssignAt, Math.max(nowSeconds + REASSIGN_DELAY_SECONDS, earliest));
+            double earliestAt = lastAssignedAt + (wasMinorityKnown ? 0 : REASSIGN_INTERVAL_SECONDS);
+            nextAssignAt = Math.min(nextAssignAt, Math.max(nowSeconds + REASSIGN_DELAY_SECONDS, earliestAt));
         }
         if (nowSeconds >= nextAssignAt && !readyUpstreams.isEmpty()) {
             nextAssignAt = Double.POSITIVE_INFINITY;
             lastAssignedAt = nowSeconds;
             wasMinorityKnown = membership.isMinorityKnown();
-            upstreams = topology.rendezvousSubsets() ? byRendezvous() : byAssignment();
+            upstreams = topology.rendezvousSubsets() ? rendezvousUpstreams() : assignSegment();
             upstreamSet = new HashSet<>(upstreams);
         }
         membership.advance(nowSeconds);
     }
 
-    /** When {@link #advance} is due without any other event; infinite where it is not. */
+    /** Returns the time at which {@link #advance} has to be called if no other event calls it; infinite if never. */
     double nextWakeUp() {
         return membership == null || readyUpstreams.isEmpty()
                 ? Double.POSITIVE_INFINITY
                 : Math.min(nextAssignAt, membership.nextWakeUp());
     }
 
-    private List<UpstreamState> byRendezvous() {
+    private List<UpstreamState> rendezvousUpstreams() {
         List<UpstreamState> assigned = readyUpstreams.stream()
                 .filter(each -> sharingSidecars(each).contains(topology.sidecarIndex()))
                 .toList();
         return assigned.isEmpty() ? readyUpstreams : assigned;
     }
 
-    private List<UpstreamState> byAssignment() {
+    /** Assigns the known members to segments. Sets the peers of this sidecar's segment and returns its upstreams. */
+    private List<UpstreamState> assignSegment() {
         SubsetAssignment assignment = new SubsetAssignment(
                 readyUpstreams.stream()
                         .map(each -> new SubsetAssignment.UpstreamSlot(each.endpoint, each.capacity))
@@ -177,18 +184,18 @@
                 MAX_SHARING_SIDECARS);
         Map<Integer, SubsetAssignment.Segment> segmentOf =
                 assignment.assign(membership.members(), membership.isMinorityKnown());
-        SubsetAssignment.Segment ours = segmentOf.getOrDefault(
+        SubsetAssignment.Segment ownSegment = segmentOf.getOrDefault(
                 topology.sidecarIndex(), assignment.segments().get(0));
         segmentOf.remove(topology.sidecarIndex());
         membership.setSubsetPeers(segmentOf.keySet().stream()
-                .filter(each -> segmentOf.get(each).equals(ours))
+                .filter(each -> segmentOf.get(each).equals(ownSegment))
                 .toList());
-        return ours.seats().stream().map(readyUpstreams::get).toList();
+        return ownSegment.seats().stream().map(readyUpstreams::get).toList();
     }
 
     /**
-     * Chosen by hashing, so that all sidecars choose the same ones. Only how many can depend on the list; they are kept
-     * once chosen.
+     * Returns the sidecars that share the upstream. They are chosen by hashing, so that all sidecars choose the same
+     * ones. Only their number can depend on the endpoint list. The choice is made once and then kept.
      */
     private List<Integer> sharingSidecars(UpstreamState upstream) {
         if (upstream.sharingSidecars == null) {
--- a/core/src/main/java/portrelay/policy/UpstreamCost.java
+++ b/core/src/main/java/portrelay/policy/UpstreamCost.java
@@ -3,21 +3,22 @@
 import java.util.SplittableRandom;
 import portrelay.model.Topology;
 
-/** What an attempt at an eligible upstream costs: the lowest cost is chosen, an infinite one never. */
+/** The cost of an attempt at an eligible upstream: the lowest cost is chosen, an infinite cost never. */
 final class UpstreamCost {
 
     /**
-     * While an upstream is newer, this sidecar's mean in flight is added for what other sidecars may have sent to it.
+     * Time for which an upstream is new. Attempts of other sidecars at a new upstream are estimated by the mean in
+     * flight of this sidecar.
      */
     private static final double NEW_UPSTREAM_SECONDS = 3.0;
 
-    /** Share of the latency objective that a request may take where peers report durations only. */
+    /** Share of the latency objective that a request may take if peers report durations only. */
     private static final double OBJECTIVE_SHARE_BY_DURATION = 0.5;
 
-    /** Share of the latency objective that a request may take where the load is known. */
+    /** Share of the latency objective that a request may take if the load of the fleet is known. */
     private static final double OBJECTIVE_SHARE = 0.9;
 
-    /** How far that share falls as the fleet's attempts in flight per core rise from 1 to 1.5. */
+    /** Reduction of {@link #OBJECTIVE_SHARE} as the fleet's mean attempts in flight per core rise from 1 to 1.5. */
     private static final double OBJECTIVE_SHARE_CUT_UNDER_LOAD = 0.3;
 
     private final Topology topology;
@@ -39,11 +40,12 @@
     }
 
     /**
-     * The cost where only attempts of this sidecar, or of the few that share the upstream, are known. Idle upstreams
-     * cost less than busy ones, in random order weighted by capacity and speed; busy ones cost their load.
+     * Returns the cost if only the attempts of this sidecar, or of the few sidecars that share the upstream, are known.
+     * The cost of a busy upstream is its load. Idle upstreams cost less than busy ones; their order is random, weighted
+     * by capacity and speed.
      *
-     * @param latencyRatio the upstream's latency over the expected one
-     * @param meanInFlight this sidecar's mean over ready upstreams
+     * @param latencyRatio the upstream's latency divided by the expected latency
+     * @param meanInFlight this sidecar's mean attempts in flight over the ready upstreams
      */
     double byOwnLoad(
             OpenRequest request, UpstreamState upstream, double latencyRatio, double meanInFlight, double nowSeconds) {
@@ -52,20 +54,20 @@
         }
         double othersInFlight = nowSeconds < upstream.observedSince + NEW_UPSTREAM_SECONDS ? meanInFlight : 0;
         double inFlight = load.inFlightWithoutProbes(upstream, nowSeconds) + othersInFlight;
-        // Idle: below 0, as the logarithm is. The lowest of such draws is an upstream's with a probability in
-        // proportion
-        // to capacity / ratio squared.
+        // The cost of an idle upstream is negative, as the logarithm is. The probability that an upstream has the
+        // lowest of these random costs is proportional to its capacity / latencyRatio^2.
         return inFlight > 0
                 ? inFlight * latencyRatio / upstream.capacity
                 : upstream.capacity / (Math.log(random.nextDouble()) * latencyRatio * latencyRatio);
     }
 
     /**
-     * The cost where the load of upstreams is known: the expected latency. While peers are silent it is drawn around
-     * that, so that sidecars that know the same list do not all choose the same upstream.
+     * Returns the cost if the load of upstreams is known: the expected latency. While peers are silent, the cost is
+     * drawn from an exponential distribution with that mean, so that sidecars with the same endpoint list do not all
+     * choose the same upstream.
      *
-     * @param latencyRatio the upstream's latency over the expected one
-     * @param allowsUnknownLoad whether every eligible upstream has an unknown load
+     * @param latencyRatio the upstream's latency divided by the expected latency
+     * @param allowsUnknownLoad whether upstreams of unknown load may be chosen, as no eligible upstream has a known one
      */
     double byExpectedLatency(
             OpenRequest request,
@@ -73,19 +75,20 @@
             double latencyRatio,
             boolean allowsUnknownLoad,
             double nowSeconds) {
-        double expected = load.expectedLatencyRatio(upstream, nowSeconds) * (topology.probesLoad() ? 1 : latencyRatio);
+        double expectedRatio =
+                load.expectedLatencyRatio(upstream, nowSeconds) * (topology.probesLoad() ? 1 : latencyRatio);
         boolean isAcceptable = load.isUnknown(upstream, nowSeconds)
                 ? allowsUnknownLoad
-                : canMeetObjective(request, upstream, expected, nowSeconds);
+                : canMeetObjective(request, upstream, expectedRatio, nowSeconds);
         if (!isAcceptable) {
             return Double.POSITIVE_INFINITY;
         }
-        return subset.arePeersSilent(nowSeconds) ? -expected * Math.log(random.nextDouble()) : expected;
+        return subset.arePeersSilent(nowSeconds) ? -expectedRatio * Math.log(random.nextDouble()) : expectedRatio;
     }
 
     /**
-     * Whether the request is expected to be served in good time, by the durations that peers report; true where there
-     * are no such reports. Guards against all sidecars filling the same queues until upstreams are overloaded.
+     * Whether the request is expected to be served in time, according to the durations that peers report; true if there
+     * are no such reports. Keeps all sidecars from filling the same queues until the upstreams are overloaded.
      */
     private boolean canServeInTime(OpenRequest request, UpstreamState upstream, double nowSeconds) {
         if (!topology.rendezvousSubsets() || subset.arePeersSilent(nowSeconds)) {
@@ -101,7 +104,7 @@
         return objective.isExpectedToMeet(request, latencyRatio, OBJECTIVE_SHARE_BY_DURATION, nowSeconds);
     }
 
-    /** Whether the request is expected to meet its latency objective where the load of upstreams is known. */
+    /** Whether the request is expected to meet its latency objective, if the load of upstreams is known. */
     private boolean canMeetObjective(
             OpenRequest request, UpstreamState upstream, double expectedLatencyRatio, double nowSeconds) {
         double overload = Math.max(0, Math.min(1, 2 * (load.meanLoadPerCore() - 1)));
@@ -109,7 +112,7 @@
         if (!objective.isExpectedToMeet(request, expectedLatencyRatio, objectiveShare, nowSeconds)) {
             return false;
         }
-        // A client's retry gets a free core or nothing: no other request is to wait behind it.
+        // A retry by the client is sent only to a free core, so that no other request has to wait for it.
         return !request.arrival.retriedByClient() || load.inFlight(upstream, nowSeconds) < upstream.loadWeight.cores();
     }
 }
--- a/core/src/main/java/portrelay/policy/UpstreamEligibility.java
+++ b/core/src/main/java/portrelay/policy/UpstreamEligibility.java
@@ -2,7 +2,7 @@
 
 import portrelay.model.AdaptiveLimit;
 
-/** Which upstreams may get an attempt, and whether any may. */
+/** Decides which upstreams may get an attempt, and whether there is capacity for one. */
 final class UpstreamEligibility {
 
     private final EndpointTable endpoints;
@@ -21,7 +21,7 @@
         this.concurrencyLimit = concurrencyLimit;
     }
 
-    /** Whether the concurrency limit allows one more; attempts at unresponsive upstreams use none of it. */
+    /** Whether the concurrency limit allows another attempt; those at unresponsive upstreams do not count. */
     boolean hasCapacity(double nowSeconds) {
         return concurrencyLimit.hasCapacity(0)
                 || concurrencyLimit.hasCapacity(endpoints.upstreams().stream()
@@ -39,14 +39,17 @@
                 && !slowStart.isCreditSpent(upstream, nowSeconds);
     }
 
-    /** Whether it gets no attempt, trials apart, while others may: not ready, ejected or unresponsive. */
+    /**
+     * Whether the upstream gets only trial requests as long as other upstreams are available: it is not ready, ejected
+     * or unresponsive.
+     */
     boolean isAvoided(UpstreamState upstream, double nowSeconds) {
         return !upstream.isReady || upstream.isEjected() || load.isUnresponsive(upstream, nowSeconds);
     }
 
-    /** Whether every upstream of the subset is avoided or must get nothing while it warms up. */
+    /** Whether every upstream of the subset is avoided, or is warming up without credit for an attempt. */
     boolean areAllAvoided(double nowSeconds) {
-        return subset.among(endpoints.upstreams()).stream()
+        return subset.upstreamsOrAll(endpoints.upstreams()).stream()
                 .allMatch(each -> isAvoided(each, nowSeconds) || slowStart.isCreditSpent(each, nowSeconds));
     }
 }
--- a/core/src/main/java/portrelay/policy/UpstreamSelector.java
+++ b/core/src/main/java/portrelay/policy/UpstreamSelector.java
@@ -4,23 +4,23 @@
 import java.util.SplittableRandom;
 import portrelay.model.RequestClass;
 
-/** Chooses the upstream of an attempt by an ordered list of rules over the eligible ones: the first match wins. */
+/** Selects the upstream of an attempt by an ordered list of rules over the eligible ones: the first match wins. */
 final class UpstreamSelector {
 
-    /** How long after an operator enabled an upstream its trial is due, if nothing has been sent there. */
+    /** Time from when an operator enables an upstream to its trial request, if nothing was sent there in between. */
     private static final double TRIAL_DELAY_SECONDS = 3.0;
 
     /** The rules, in the order in which they are tried. */
     enum Rule {
-        /** An upstream that was ejected or disabled gets one attempt to show that it works. */
+        /** A trial request: an upstream that was ejected or disabled gets one attempt to show that it works. */
         TRIAL,
-        /** An idle upstream that is warming up gets the attempt that it has credit for. */
+        /** An idle upstream that is warming up and has slow start credit for the attempt. */
         WARMING_UP,
         /** An idle upstream that is slow, but expected to answer sooner than the others, which are all busy. */
         IDLE_THOUGH_SLOW,
         /** The cheapest of the upstreams that are not slow. */
         LOWEST_COST,
-        /** The cheapest of all. */
+        /** The cheapest of all upstreams, slow ones included, if no other may get the attempt. */
         LOWEST_COST_OR_SLOW,
         /** No upstream may get the attempt now. */
         NONE
@@ -31,7 +31,7 @@
         static final Selection NONE = new Selection(null, Rule.NONE);
     }
 
-    /** What holds for all upstreams while one is chosen. */
+    /** The criteria that apply to all candidates of one selection. */
     private record Criteria(boolean includesAvoided, boolean allowsUnknownLoad, double meanInFlight) {}
 
     private final EndpointTable endpoints;
@@ -61,7 +61,7 @@
         this.random = random;
     }
 
-    /** Chooses for the first attempt of a request, or for a hedged or repeated one. */
+    /** Selects the upstream for the first attempt of a request, or for a hedge or a retry. */
     Selection select(OpenRequest request, boolean isFirstAttempt, double nowSeconds) {
         if (isLimited(nowSeconds) && !eligibility.hasCapacity(nowSeconds)) {
             return Selection.NONE;
@@ -77,7 +77,10 @@
         return selection;
     }
 
-    /** Whether the concurrency limit applies: where the load of the fleet is known and moderate it does not. */
+    /**
+     * Whether the concurrency limit applies. If the load of the fleet is known, it applies only while peers are silent
+     * and the fleet is busy.
+     */
     private boolean isLimited(double nowSeconds) {
         return !load.isFleetLoadKnown() || subset.arePeersSilent(nowSeconds) && load.meanLoadPerCore() > 1;
     }
@@ -101,9 +104,9 @@
         if (cheapest == null) {
             return cheapestOrSlow == null ? Selection.NONE : new Selection(cheapestOrSlow, Rule.LOWEST_COST_OR_SLOW);
         }
-        boolean isSooner = isIdle(cheapestOrSlow, nowSeconds)
+        boolean isExpectedSooner = isIdle(cheapestOrSlow, nowSeconds)
                 && expectedLatencyRatio(cheapestOrSlow, nowSeconds) < expectedLatencyRatio(cheapest, nowSeconds);
-        return isSooner
+        return isExpectedSooner
                 ? new Selection(cheapestOrSlow, Rule.IDLE_THOUGH_SLOW)
                 : new Selection(cheapest, Rule.LOWEST_COST);
     }
@@ -112,39 +115,48 @@
         return load.inFlightWithoutProbes(upstream, nowSeconds) == 0;
     }
 
-    /** Latency of one more attempt there by what is in flight, as a multiple of the typical one. */
+    /**
+     * Returns the expected latency of one more attempt at the upstream, from the attempts in flight there, as a
+     * multiple of the typical latency.
+     */
     private double expectedLatencyRatio(UpstreamState upstream, double nowSeconds) {
         return (load.inFlightWithoutProbes(upstream, nowSeconds) + 1)
                 * latencies.latencyRatio(upstream, nowSeconds)
                 / upstream.capacity;
     }
 
-    /** The first upstream whose trial is due, and idle where that is known. Only safe requests take part in trials. */
+    /**
+     * Returns the first upstream whose trial request is due; null if there is none. If the load of the fleet is known,
+     * the upstream must also be idle. Only safe requests are used as trial requests.
+     */
     private UpstreamState dueTrial(OpenRequest request, double nowSeconds) {
         if (request.requestClass.idempotency() != RequestClass.Idempotency.SAFE) {
             return null;
         }
-        for (UpstreamState each : endpoints.upstreams()) {
-            boolean isDue = each.isTrialOwed && nowSeconds >= each.enabledAt + TRIAL_DELAY_SECONDS
-                    || each.isTrialDue(nowSeconds) && !each.isTrialInFlight;
+        for (UpstreamState upstream : endpoints.upstreams()) {
+            boolean isDue = upstream.isUntriedSinceEnabled && nowSeconds >= upstream.enabledAt + TRIAL_DELAY_SECONDS
+                    || upstream.isTrialDue(nowSeconds) && !upstream.isTrialInFlight;
             if (isDue
-                    && eligibility.isEligible(request, each, nowSeconds)
+                    && eligibility.isEligible(request, upstream, nowSeconds)
                     && (!load.isFleetLoadKnown()
-                            || load.inFlight(each, nowSeconds) == 0 && !load.isUnknown(each, nowSeconds))) {
-                return each;
+                            || load.inFlight(upstream, nowSeconds) == 0 && !load.isUnknown(upstream, nowSeconds))) {
+                return upstream;
             }
         }
         return null;
     }
 
     private List<UpstreamState> warmingUpWithCredit(OpenRequest request, double nowSeconds) {
-        return subset.among(endpoints.upstreams()).stream()
+        return subset.upstreamsOrAll(endpoints.upstreams()).stream()
                 .filter(each ->
                         slowStart.hasCredit(each, nowSeconds) && eligibility.isEligible(request, each, nowSeconds))
                 .toList();
     }
 
-    /** The first idle one with credit; by cost alone many sidecars would never send to an upstream that warms up. */
+    /**
+     * Returns the first idle upstream of those with credit; null if there is none. If cost alone decided, many sidecars
+     * would never send to an upstream that is warming up.
+     */
     private UpstreamState idleWarmingUp(List<UpstreamState> withCredit, double nowSeconds) {
         return withCredit.stream()
                 .filter(each ->
@@ -162,28 +174,28 @@
         return new Criteria(eligibility.areAllAvoided(nowSeconds), allowsUnknownLoad, meanInFlight);
     }
 
-    /** The cheapest eligible upstream; null where there is none. */
+    /** Returns the cheapest eligible upstream; null if there is none. */
     private UpstreamState lowestCost(OpenRequest request, Criteria criteria, boolean includesSlow, double nowSeconds) {
         boolean isLoadKnown = load.isFleetLoadKnown();
         UpstreamState cheapest = null;
         double lowest = Double.POSITIVE_INFINITY;
-        for (UpstreamState each : endpoints.upstreams()) {
-            // Quickest checks first: this loop runs per endpoint and request.
-            if (!eligibility.isEligible(request, each, nowSeconds)
-                    || !criteria.includesAvoided && eligibility.isAvoided(each, nowSeconds)
-                    || isLoadKnown && !criteria.allowsUnknownLoad && load.isUnknown(each, nowSeconds)) {
+        for (UpstreamState candidate : endpoints.upstreams()) {
+            // The quickest checks come first, as this loop runs for each endpoint at each selection.
+            if (!eligibility.isEligible(request, candidate, nowSeconds)
+                    || !criteria.includesAvoided && eligibility.isAvoided(candidate, nowSeconds)
+                    || isLoadKnown && !criteria.allowsUnknownLoad && load.isUnknown(candidate, nowSeconds)) {
                 continue;
             }
-            double latencyRatio = latencies.latencyRatio(each, nowSeconds);
-            if (!includesSlow && latencies.isSlow(each, latencyRatio, nowSeconds)) {
+            double latencyRatio = latencies.latencyRatio(candidate, nowSeconds);
+            if (!includesSlow && latencies.isSlow(candidate, latencyRatio, nowSeconds)) {
                 continue;
             }
             double candidateCost = isLoadKnown
-                    ? cost.byExpectedLatency(request, each, latencyRatio, criteria.allowsUnknownLoad, nowSeconds)
-                    : cost.byOwnLoad(request, each, latencyRatio, criteria.meanInFlight, nowSeconds);
+                    ? cost.byExpectedLatency(request, candidate, latencyRatio, criteria.allowsUnknownLoad, nowSeconds)
+                    : cost.byOwnLoad(request, candidate, latencyRatio, criteria.meanInFlight, nowSeconds);
             if (candidateCost < lowest) {
                 lowest = candidateCost;
-                cheapest = each;
+                cheapest = candidate;
             }
         }
         return cheapest;
--- a/core/src/main/java/portrelay/policy/UpstreamState.java
+++ b/core/src/main/java/portrelay/policy/UpstreamState.java
@@ -7,69 +7,69 @@
 import portrelay.model.Samples;
 import portrelay.model.UpstreamId;
 
-/** What is known of one upstream. Owned by {@link EndpointTable}; the policies update the part that they decide by. */
+/** The state of one upstream. Owned by {@link EndpointTable}; each policy updates the part that it decides by. */
 final class UpstreamState {
 
-    /** An upstream that has lost so many hedged requests in a row to other upstreams is ejected. */
+    /** Number of consecutive hedged requests lost to other upstreams after which an upstream is ejected. */
     static final int HEDGE_LOSSES_TO_EJECT = 5;
 
     /**
-     * Evidence of the sequential test at which it is ejected: failing nearly always is 1000 times likelier than failing
-     * as usual.
+     * Evidence of the sequential test at which an upstream is ejected: that it fails nearly always is then 1000 times
+     * as likely as that it fails as often as usual.
      */
     static final double EJECTION_EVIDENCE = Math.log(1000);
 
-    /** How many prompt answers to later attempts show that an earlier attempt is lost rather than queued. */
+    /** Number of answers to later attempts after which an earlier attempt counts as lost rather than queued. */
     static final int OVERTAKING_ANSWERS = 4;
 
     private static final int LATENCY_SAMPLES = 16;
 
-    /** Lists over which the attempts in flight that its weights show are averaged. */
+    /** Number of endpoint lists over which the attempts in flight that the weights show are averaged. */
     private static final int WEIGHT_SAMPLES = 3;
 
     final UpstreamId id;
 
-    // The endpoint list and operators.
+    // Set by the endpoint list and by operators.
     Endpoint endpoint;
     boolean isReady;
     boolean isGone;
-    /** Idle capacity relative to other upstreams, above 0. */
+    /** Capacity when idle, relative to other upstreams; above 0. */
     double capacity;
 
     final LoadWeight loadWeight = new LoadWeight(WEIGHT_SAMPLES);
-    /** When an operator enabled it again; 0 if never. */
+    /** The time at which an operator last enabled it again; 0 if never. */
     double enabledAt;
 
-    /** Whether nothing has been sent to it since an operator enabled it again. */
-    boolean isTrialOwed;
+    /** Whether nothing has been sent to it since an operator enabled it again; it then gets a trial request. */
+    boolean isUntriedSinceEnabled;
 
     // Attempts of this sidecar.
     int inFlight;
-    /** Those in flight on connections that had been idle. */
+    /** Attempts in flight on connections that had been idle. */
     int inFlightOnIdleConnections;
 
     double lastServedAt = Double.NEGATIVE_INFINITY;
-    /** How many attempts it may get now while it warms up, fractions included; see {@link SlowStart}. */
+    /** Number of attempts, including fractions, that it may get now while it is warming up; see {@link SlowStart}. */
     double slowStartCredit;
 
-    // Outlier detection. Attempts sent before observedSince count neither for nor against it.
+    // Outlier detection. Attempts sent before observedSince are ignored.
     double observedSince;
     int hedgesLost;
     double failureEvidence;
     double ejectedUntil;
     boolean isTrialInFlight;
-    /** Duration ratios of attempts of all sidecars that share it, see {@link LatencyTracker}. */
+    /** Duration ratios of the attempts of all sidecars that share it; see {@link LatencyTracker}. */
     final Samples durationRatios = new Samples(LATENCY_SAMPLES);
-    /** Latency ratios of attempts of this sidecar, see {@link LatencyTracker}. */
+    /** Latency ratios of the attempts of this sidecar; see {@link LatencyTracker}. */
     final Samples latencyRatios = new Samples(LATENCY_SAMPLES);
-    /** When the last attempts were sent that were answered promptly. */
+    /** The times at which the last promptly answered attempts were sent. */
     final Samples promptSendTimes = new Samples(OVERTAKING_ANSWERS);
 
-    // Load as known from peers and probes.
+    // Load, as known from peers and probes.
     final PeerInFlight peerInFlight;
-    /** The sidecars that use it; null until chosen, where rendezvous hashing chooses them. */
+    /** The sidecars that use it, if rendezvous hashing chooses them; null until they are chosen. */
     List<Integer> sharingSidecars;
-    /** In flight there as the last probe reported, and the attempts that were sent since. */
+    /** Attempts in flight as the last probe reported, plus the attempts that this sidecar has sent since. */
     double reportedInFlight;
 
     double reportedAt = Double.NEGATIVE_INFINITY;
@@ -80,7 +80,7 @@
         this.peerInFlight = new PeerInFlight(maxDeadlineSeconds);
     }
 
-    /** The process behind it is new: nothing that an earlier one did counts. */
+    /** Resets what was observed of the process, as a new one has replaced it. */
     void reset(double nowSeconds, double initialCredit) {
         observedSince = nowSeconds;
         hedgesLost = 0;
@@ -89,12 +89,12 @@
         peerInFlight.clear();
     }
 
-    /** Whether it gets no attempts but trials. */
+    /** Whether it is ejected, and gets only trial requests while other upstreams are available. */
     boolean isEjected() {
         return hedgesLost >= HEDGE_LOSSES_TO_EJECT || failureEvidence >= EJECTION_EVIDENCE;
     }
 
-    /** Whether it is ejected and has been left alone for long enough to be tried. */
+    /** Whether it is ejected and its next trial request is due. */
     boolean isTrialDue(double nowSeconds) {
         return isEjected() && nowSeconds >= ejectedUntil;
     }
