--- a/core/src/main/java/portrelay/policy/HedgingPolicy.java
+++ b/core/src/main/java/portrelay/policy/HedgingPolicy.java
@@ -33,8 +33,8 @@
      * to a fixed maximum. Where the load of the fleet is known, a slow attempt is hedged earlier.
      */
     double delaySeconds(OpenRequest request) {
-        double budget = request.arrival.deadline() - request.arrivedAt;
-        double delay = Math.min(MAX_DELAY_SECONDS, budget / 2);
+        double budgetSeconds = request.arrival.deadline() - request.arrivedAt;
+        double delay = Math.min(MAX_DELAY_SECONDS, budgetSeconds / 2);
         return load.isFleetLoadKnown() ? Math.min(delay, slowAfterSeconds(request.requestClass)) : delay;
     }
 
--- a/core/src/main/java/portrelay/policy/LoadBalancer.java
+++ b/core/src/main/java/portrelay/policy/LoadBalancer.java
@@ -179,7 +179,7 @@
         return !queue.hasQueued() && eligibility.hasCapacity(nowSeconds);
     }
 
-    /** Handles that the client of a request has left. */
+    /** Closes a request whose client has left. */
     public void clientLeft(double time, RequestId id) {
         nowSeconds = time;
         OpenRequest request = requests.get(id);
--- a/core/src/main/java/portrelay/policy/LoadProbes.java
+++ b/core/src/main/java/portrelay/policy/LoadProbes.java
@@ -11,7 +11,7 @@
 
 /**
  * Runs rounds of load probes. Where upstreams report their load only in answer to probes, a few random upstreams are
- * probed before an attempt is sent. The first upstream that reports to be idle ends the round.
+ * probed before an attempt is sent. The first upstream that reports no attempts in flight ends the round.
  */
 final class LoadProbes {
 
--- a/core/src/main/java/portrelay/policy/UpstreamState.java
+++ b/core/src/main/java/portrelay/policy/UpstreamState.java
@@ -80,7 +80,7 @@
         this.peerInFlight = new PeerInFlight(maxDeadlineSeconds);
     }
 
-    /** Resets what was observed of the process, as a new one has replaced it. */
+    /** Discards the observations of the former process, as a new one has replaced it. */
     void reset(double nowSeconds, double initialCredit) {
         observedSince = nowSeconds;
         hedgesLost = 0;
