--- a/core/src/main/java/portrelay/policy/OutlierDetector.java
+++ b/core/src/main/java/portrelay/policy/OutlierDetector.java
@@ -59,7 +59,8 @@
      */
     void recordOutcome(UpstreamState upstream, boolean isFailed, double nowSeconds) {
         boolean wasEjected = upstream.isEjected();
-        upstream.failureEvidence = FAILURE_TEST.after(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
+        upstream.failureEvidence =
+                FAILURE_TEST.evidenceAfter(upstream.failureEvidence, fleetFailures.mean(0), isFailed);
         fleetFailures.add(nowSeconds, isFailed ? 1 : 0);
         if (!wasEjected && upstream.isEjected()) {
             upstream.ejectedUntil = nowSeconds + EJECTION_SECONDS;
--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -98,7 +98,7 @@
 
     /** Returns the upstream that a code in a peer message denotes; null if there is none. */
     UpstreamState upstreamByCode(int code) {
-        if (topology.rendezvousSubsets()) {
+        if (topology.usesRendezvousSubsets()) {
             return upstreams.stream()
                     .filter(each -> PeerMembership.upstreamCode(each.id) == code)
                     .findFirst()
@@ -109,7 +109,7 @@
 
     /** Sends an attempt event to the peers that share the upstream. */
     void send(PeerMembership.AttemptEvent event, UpstreamState upstream, int tenant, double durationRatio) {
-        if (topology.rendezvousSubsets()) {
+        if (topology.usesRendezvousSubsets()) {
             membership.sendAttemptEvent(
                     event, PeerMembership.upstreamCode(upstream.id), durationRatio, sharingSidecars(upstream));
         } else if (upstreamSet.contains(upstream)) {
@@ -154,7 +154,7 @@
             nextAssignAt = Double.POSITIVE_INFINITY;
             lastAssignedAt = nowSeconds;
             wasMinorityKnown = membership.isMinorityKnown();
-            upstreams = topology.rendezvousSubsets() ? rendezvousUpstreams() : assignSegment();
+            upstreams = topology.usesRendezvousSubsets() ? rendezvousUpstreams() : assignSegment();
             upstreamSet = new HashSet<>(upstreams);
         }
         membership.advance(nowSeconds);
--- a/core/src/main/java/portrelay/policy/UpstreamCost.java
+++ b/core/src/main/java/portrelay/policy/UpstreamCost.java
@@ -91,7 +91,7 @@
      * are no such reports. Keeps all sidecars from filling the same queues until the upstreams are overloaded.
      */
     private boolean canServeInTime(OpenRequest request, UpstreamState upstream, double nowSeconds) {
-        if (!topology.rendezvousSubsets() || subset.arePeersSilent(nowSeconds)) {
+        if (!topology.usesRendezvousSubsets() || subset.arePeersSilent(nowSeconds)) {
             return true;
         }
         double inFlight = load.inFlight(upstream, nowSeconds);
