--- a/daemon/src/main/java/org/xnio/nio/SharedListener.java
+++ b/daemon/src/main/java/org/xnio/nio/SharedListener.java
@@ -14,13 +14,15 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A listener at an address that a process can share with its successor (SO_REUSEPORT). In XNIO's package because XNIO
- * 3.8 has no such option and opens and binds in one step: this opens, sets the option, binds, and gives the channel to
- * XNIO's own package-private server. See docs/design/operations.md, "Replacing the process".
+ * A listening socket whose address a process can share with its successor (SO_REUSEPORT). XNIO 3.8 has no such option
+ * and opens and binds in one step. This class is in XNIO's package because it opens the channel, sets the option,
+ * binds, and then passes the channel to XNIO's package-private server. See docs/design/operations.md, "Replacing the
+ * process".
  *
- * <p>It closes in two steps. The kernel resets a connection that comes between the last accept and the close, so what
- * takes time is done before the last accept: XNIO's own close asks the selector first, and the kernel closes a channel
- * only once no selector has it. For a worker with one I/O thread, on which all methods but {@link #listen} are called.
+ * <p>The listener closes in two steps. The kernel resets a connection that arrives between the last accept and the
+ * close, so slow steps are done before the last accept: XNIO's own close involves the selector first, and the kernel
+ * closes a channel only once it is registered with no selector. Requires a worker with one I/O thread, on which all
+ * methods except {@link #listen} are called.
  */
 public final class SharedListener {
 
@@ -37,9 +39,10 @@
     }
 
     /**
-     * Returns a listener that accepts on the I/O thread once it is resumed; its {@code accept} returns null on others.
+     * Returns a listener that accepts on the I/O thread once it is resumed; on other threads, {@code accept} returns
+     * null.
      *
-     * @param backlog connections that the kernel keeps until they are accepted
+     * @param backlog the maximum number of connections that the kernel queues until they are accepted
      */
     public static SharedListener listen(
             XnioWorker worker,
@@ -67,10 +70,10 @@
     }
 
     /**
-     * Opens a listener at a free port of loopback, and closes it as {@link #close} does. A process closes its listener
-     * once, at the moment at which cold code costs connections.
+     * Warms up the code that closes a listener: opens a listener on a free loopback port and closes it in the same two
+     * steps. A process closes its listener only once, at a moment when code that is not yet compiled costs connections.
      *
-     * @throws IOException where it can't be opened
+     * @throws IOException if the listener can't be opened
      */
     public static void warmUp(XnioWorker worker) throws IOException {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -81,12 +84,12 @@
         listener.close();
     }
 
-    /** The socket as XNIO has it. */
+    /** Returns the socket as an XNIO channel. */
     public AcceptingChannel<StreamConnection> socket() {
         return server;
     }
 
-    /** From here on connections are accepted by {@code accept} alone; what comes waits in the kernel. */
+    /** Stops polling: connections are then accepted only by explicit {@code accept} calls, and queue in the kernel. */
     public void stopPolling() {
         SelectionKey key = channel.keyFor(thread.getSelector());
         if (key != null) {
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Closes it; after {@link #stopPolling} the kernel does so within this call's first step. */
+    /** Closes the listener; after {@link #stopPolling}, the kernel closes the socket in the first step of this call. */
     public void close() {
         IoUtils.safeClose(channel);
         IoUtils.safeClose(server);
--- a/daemon/src/main/java/org/xnio/nio/package-info.java
+++ b/daemon/src/main/java/org/xnio/nio/package-info.java
@@ -1,2 +1,2 @@
-/** What portrelay needs of XNIO's package-private classes. Knows no package of portrelay. */
+/** Access to the package-private classes of XNIO that portrelay needs. Depends on no package of portrelay. */
 package org.xnio.nio;
--- a/daemon/src/main/java/portrelay/net/connection/Connector.java
+++ b/daemon/src/main/java/portrelay/net/connection/Connector.java
@@ -26,19 +26,21 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * Opens connections and owns their number: each is counted when its connect begins and given back once, when the
- * connect fails or is given up, or when the connection closes. At the limit the connection that has been idle for
- * longest is closed for a new one.
+ * Opens connections and limits their number. A connection is counted from the start of its connect attempt until the
+ * attempt fails or is cancelled, or until the connection closes. At the limit, the connection that has been idle
+ * longest is closed to make room for a new one.
  */
 public final class Connector {
 
-    /** Undertow's client insists on a URI; the real address is given to the {@link Opener}. */
+    /** Undertow's client requires a URI; the actual address is passed to the {@link Opener}. */
     private static final URI UNUSED = URI.create("http://127.0.0.1:1");
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
-    /** How a socket is opened; the warm-up has another way than the network. */
+    /** Opens a socket. The warm-up uses an implementation other than the network. */
     public interface Opener {
+
+        /** Begins to open a connection; {@code opened} is called with the connection once it is open. */
         IoFuture<StreamConnection> open(
                 InetSocketAddress to, ChannelListener<? super StreamConnection> opened, OptionMap options);
     }
@@ -54,11 +56,17 @@
     private int maxConnections;
     private int openCount;
 
-    /** Opens TCP connections; {@code openCountListener} is told how many are open each time that one more is opened. */
+    /**
+     * Creates a connector for TCP connections.
+     *
+     * @param maxConnections the maximum number of connections that are open or being opened
+     * @param openCountListener called with the number of open connections each time a connect attempt begins
+     */
     public Connector(EventLoop loop, ByteBufferPool buffers, int maxConnections, IntConsumer openCountListener) {
         this(loop, buffers, maxConnections, openCountListener, loop.thread()::openStreamConnection);
     }
 
+    /** Creates a connector whose connections are opened by {@code opener}. */
     public Connector(
             EventLoop loop, ByteBufferPool buffers, int maxConnections, IntConsumer openCountListener, Opener opener) {
         this.loop = loop;
@@ -69,22 +77,22 @@
     }
 
     /**
-     * Begins to connect. Exactly one of the two callbacks is called, unless the connect is given up before:
-     * {@code failed} always after this has returned, {@code opened} possibly before.
+     * Begins a connect attempt. Exactly one of the two callbacks is called, unless the attempt is cancelled first:
+     * {@code failed} always after this method has returned, {@code opened} possibly before.
      *
-     * @param timeoutSeconds 0 for the kernel's own timeout
+     * @param timeoutSeconds the connect timeout in seconds, or 0 for the kernel's timeout
      */
     public ConnectAttempt connect(
             InetSocketAddress to, double timeoutSeconds, Consumer<HttpConnection> opened, Runnable failed) {
         return new ConnectAttempt(to, timeoutSeconds, opened, failed);
     }
 
-    /** How many connections are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     public int openCount() {
         return openCount;
     }
 
-    /** So many may be open from here on; surplus idle ones are closed at once, the others as their exchanges end. */
+    /** Sets the limit; surplus idle connections are closed at once, the others as their exchanges end. */
     public void setMaxConnections(int connections) {
         maxConnections = connections;
         while (openCount > maxConnections && closeLongestIdle()) {
@@ -92,17 +100,20 @@
         }
     }
 
-    /** From here on the connection may be closed to make place for another. */
+    /** Marks the connection as idle; it may now be closed to make room for another. */
     public void idle(HttpConnection connection) {
         idle.add(connection);
     }
 
-    /** From here on the connection may not be closed for another. */
+    /** Marks the connection as in use; it is no longer closed to make room for another. */
     public void inUse(HttpConnection connection) {
         idle.remove(connection);
     }
 
-    /** Whatever it leads to: the limit is one for all upstreams, and idle connections to one must not bar others. */
+    /**
+     * Closes the connection that has been idle longest, whichever upstream it leads to: all upstreams share one limit,
+     * and idle connections to one must not block connections to others.
+     */
     private boolean closeLongestIdle() {
         if (idle.isEmpty()) {
             return false;
@@ -113,14 +124,14 @@
         return true;
     }
 
-    /** One connect that is under way. */
+    /** A connect attempt in progress. */
     public final class ConnectAttempt implements ClientCallback<ClientConnection> {
 
         private final Consumer<HttpConnection> opened;
         private final Runnable failed;
-        /** Null where it failed before the socket was opened. */
+        /** Null if the attempt failed before the socket was opened. */
         private IoFuture<StreamConnection> connecting;
-        /** Null where there is none. */
+        /** Null if the attempt has no timeout of its own. */
         private XnioExecutor.Key timeout;
 
         private boolean isOver;
@@ -137,7 +148,8 @@
             openCount++;
             openCountListener.accept(openCount);
             if (timeoutSeconds > 0) {
-                // After a poll: where the loop itself was late, the connection may be open and not yet seen.
+                // After a poll, because if the loop was late, the connection may be open without the loop having seen
+                // it.
                 timeout = loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> failed(null)));
             }
             begin(to);
@@ -149,7 +161,7 @@
             try {
                 client.connect(this, null, UNUSED, ioThread, null, buffers, OPTIONS);
             } catch (RuntimeException e) {
-                // Could not even begin, and must not stay in the count.
+                // The attempt could not start and must not remain counted.
                 failed(new IOException(e));
             }
             connecting = ioThread.connecting;
@@ -158,7 +170,7 @@
             }
         }
 
-        /** Cancels the connect; neither callback comes after this. */
+        /** Cancels the attempt; neither callback is called afterwards. */
         public void giveUp() {
             if (end()) {
                 openCount--;
@@ -188,7 +200,7 @@
             }
         }
 
-        /** False where it has ended before. */
+        /** Ends the attempt; returns false if it had already ended. */
         private boolean end() {
             if (isOver) {
                 return false;
@@ -205,9 +217,10 @@
     }
 
     /**
-     * Stands in for the I/O thread while Undertow's client connects, and captures what the client keeps to itself: the
-     * connect, to be able to cancel it, as it would hold its descriptor until the kernel's timeout of two minutes, and
-     * the socket, to count the bytes that it takes. Its fields belong to the connect that was begun or completed last.
+     * Passed to Undertow's client in place of the I/O thread, to capture objects that the client does not expose: the
+     * future of the connect, so that it can be cancelled (otherwise it would hold its descriptor until the kernel's
+     * timeout of two minutes), and the socket, so that the bytes written to it can be counted. The fields refer to the
+     * connect that was begun or completed last.
      */
     private static final class CapturingIoThread extends XnioIoThread {
 
--- a/daemon/src/main/java/portrelay/net/connection/HttpCall.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpCall.java
@@ -8,21 +8,21 @@
 /**
  * A request to an upstream or to discovery.
  *
- * @param head method, target and headers; framing headers are the caller's
- * @param body the complete body; empty where {@code requestBody} is given
- * @param requestBody a long body that is forwarded as it comes, once; null where the body is complete
+ * @param head method, target and headers; the caller sets the framing headers
+ * @param body the complete body; empty if {@code requestBody} is given
+ * @param requestBody a long body that is forwarded once, as it arrives; null if {@code body} is the complete body
  */
 public record HttpCall(ClientRequest head, byte[] body, RequestBody requestBody) {
 
     /** An empty body. */
     public static final byte[] NO_BODY = new byte[0];
-    /** A body of at most so many bytes is buffered; a longer one is forwarded as it comes. */
+    /** The longest body, in bytes, that is buffered; a longer one is forwarded as it arrives. */
     public static final int MAX_BUFFERED_BODY = 64 * 1024;
     /** The longest body, in bytes, of requests and responses; longer ones are rejected or failed. */
     public static final int MAX_BODY = 36 * 1024 * 1024;
 
     /**
-     * A call whose body is complete.
+     * Returns a call with a complete body.
      *
      * @param target the raw path and query
      */
@@ -31,10 +31,11 @@
     }
 
     /**
-     * A call with either kind of body.
+     * Returns a call with a complete or a streamed body.
      *
      * @param target the raw path and query
-     * @param requestBody may be null
+     * @param body the complete body; empty if {@code requestBody} is given
+     * @param requestBody the streamed body; may be null
      */
     public static HttpCall of(HttpString method, String target, byte[] body, RequestBody requestBody) {
         return new HttpCall(
@@ -43,7 +44,7 @@
                 requestBody);
     }
 
-    /** The head's headers, to be added to until the call is sent. */
+    /** Returns the headers of the head; they may be changed until the call is sent. */
     public HeaderMap headers() {
         return head.getRequestHeaders();
     }
--- a/daemon/src/main/java/portrelay/net/connection/HttpConnection.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpConnection.java
@@ -12,21 +12,21 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * One open connection and the owner of its socket. It carries one {@link HttpExchange} at a time; a response that comes
- * before its request is written, or brings more bytes than its own, closes it.
+ * An open connection, and the owner of its socket. Carries one {@link HttpExchange} at a time. It is closed if a
+ * response is complete before its request is written, or if further bytes follow the response.
  */
 public final class HttpConnection {
 
     private final EventLoop loop;
     private final ClientConnection connection;
     private final StreamConnection socket;
-    /** Bytes that the socket took, as counted below Undertow. */
+    /** The number of bytes written to the socket, counted below Undertow. */
     private final AtomicLong bytesSent;
 
     private final ResponseFramingFilter filter;
     /** Null while the connection is idle or closed. */
     private HttpExchange current;
-    /** Null where nobody waits for the end of a streamed response. */
+    /** Called at the end of a streamed response; null if none is set. */
     private Runnable freeListener;
 
     HttpConnection(
@@ -47,14 +47,15 @@
         });
     }
 
-    /** Whether it is open and carries no exchange. */
+    /** Whether the connection is open and carries no exchange. */
     public boolean isUsable() {
         return connection.isOpen() && current == null;
     }
 
     /**
-     * Whether it is usable and nothing has come since the last exchange, as that would be taken for the next response.
-     * Reads to find out, and closes the connection where something has come or the upstream has ended it.
+     * Whether the connection is usable and nothing was received since the last exchange; such bytes would be taken for
+     * the next response. Reads from the socket to find out, and closes the connection if bytes were received or the
+     * upstream has ended the connection.
      */
     public boolean hasBeenIdle() {
         if (!isUsable()) {
@@ -71,31 +72,40 @@
         return false;
     }
 
-    /** Whether the last byte of the last request was sent; true where that is not known, as after its exchange. */
+    /**
+     * Whether the last byte of the current request was sent. Also true if that is unknown because there is no current
+     * exchange, as after its end.
+     */
     public boolean written() {
         return current == null || current.isRequestWritten();
     }
 
-    /** The listener is called once, when a streamed response is complete and the connection can be used again. */
+    /** Sets a listener that is called once, when a streamed response is complete and the connection is reusable. */
     public void onFree(Runnable listener) {
         freeListener = listener;
     }
 
-    /** The listener is called when the connection closes, whoever closes it. */
+    /** Adds a listener that is called when the connection closes, whichever side closes it. */
     public void onClosed(Runnable listener) {
         connection.addCloseListener(closed -> listener.run());
     }
 
     /**
-     * Sends a request on an idle connection. A response of more than {@code maxBody} bytes counts as a lost connection.
+     * Sends a request on an idle connection. A response body of more than {@code maxBody} bytes counts as a lost
+     * connection.
      *
-     * @param done called once, on the loop; possibly before this returns
+     * @param done called once, on the loop; possibly before this method returns
      */
     public void exchange(HttpCall call, int maxBody, Consumer<HttpResult> done) {
         exchange(call, maxBody, false, done);
     }
 
-    /** The same for responses of any length: {@code done} is called when a long response with status 200 begins. */
+    /**
+     * Sends a request on an idle connection, and streams a long response: if a response with status 200 has a body of
+     * more than {@link HttpCall#MAX_BUFFERED_BODY} bytes, {@code done} is called before the body is complete.
+     *
+     * @param done called once, on the loop; possibly before this method returns
+     */
     public void beginExchange(HttpCall call, Consumer<HttpResult> done) {
         exchange(call, HttpCall.MAX_BUFFERED_BODY, true, done);
     }
@@ -108,15 +118,15 @@
     }
 
     /**
-     * Closes the socket itself: a shutdown by Undertow would wait for the other side to close too, which one that hangs
-     * never does. The current exchange ends without being told.
+     * Closes the socket directly, because a shutdown by Undertow waits for the other side to close too, and an
+     * unresponsive one never does. The current exchange ends without a callback.
      */
     public void close() {
         current = null;
         IoUtils.safeClose(socket);
     }
 
-    // ---- For the exchange -------------------------------------------------------------------------------
+    // ---- Called by the exchange -------------------------------------------------------------------------
 
     EventLoop loop() {
         return loop;
@@ -142,12 +152,12 @@
         return current == exchange;
     }
 
-    /** Whether the response came to its own end, and not only to the connection's. */
+    /** Whether the response is complete by its own framing, or is delimited by the end of the connection. */
     boolean isResponseComplete() {
         return filter.isResponseComplete();
     }
 
-    /** The current exchange is complete; the connection stays only where nothing of it is unwritten or unread. */
+    /** Ends the current exchange; closes the connection if request bytes are unwritten or received bytes are unread. */
     void exchangeCompleted() {
         boolean isReusable = written() && filter.hasNothingUnread();
         current = null;
@@ -156,7 +166,7 @@
         }
     }
 
-    /** A streamed response is complete. */
+    /** Notifies the free listener that a streamed response is complete, if the connection is reusable. */
     void streamCompleted() {
         if (isUsable() && freeListener != null) {
             freeListener.run();
--- a/daemon/src/main/java/portrelay/net/connection/HttpExchange.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpExchange.java
@@ -13,12 +13,12 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request and its response on an {@link HttpConnection}: writes the request, buffers a short response and hands on
- * a long one as it begins. Whatever fails closes the connection and ends the exchange, once.
+ * One request and its response on an {@link HttpConnection}. Writes the request, buffers a short response, and passes
+ * on a long one before its body is complete. Any failure closes the connection and ends the exchange, once.
  */
 final class HttpExchange implements ClientCallback<ClientExchange> {
 
-    /** Size of one read; most responses are shorter. */
+    /** The size of one read in bytes; most responses are shorter. */
     private static final int READ_BYTES = 4 * 1024;
 
     private final HttpConnection connection;
@@ -28,19 +28,21 @@
     private final Consumer<HttpResult> done;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final long bytesSentBefore;
-    /** What is left to write of a buffered request body. */
+    /** The unwritten rest of a buffered request body. */
     private final ByteBuffer unwritten;
 
     private ClientResponse head;
-    /** While {@link #read} takes what is there: it handles the connection's end itself. */
+    /** Whether {@link #read} is running; it handles the end of the connection itself. */
     private boolean isReading;
-    /** Once the response was handed on: the transfer sees the connection's end. */
+    /** Whether the response was passed on as a stream; the transfer then detects the end of the connection. */
     private boolean isStreaming;
 
     /**
-     * @param maxBuffered the most bytes of a response that are held
-     * @param mayStream whether a longer response with status 200 is handed on as it begins, rather than failed
-     * @param done called once, unless the connection is closed by its owner before
+     * Creates an exchange that has not started.
+     *
+     * @param maxBuffered the maximum number of bytes of a response body that are buffered
+     * @param mayStream whether a longer response with status 200 is passed on as a stream instead of failing
+     * @param done called once, unless the owner of the connection closes it first
      */
     HttpExchange(
             HttpConnection connection, HttpCall call, int maxBuffered, boolean mayStream, Consumer<HttpResult> done) {
@@ -57,7 +59,7 @@
         guarded(() -> connection.sendRequest(call.head(), this));
     }
 
-    /** Whether the request's last byte was sent. */
+    /** Whether the last byte of the request was sent. */
     boolean isRequestWritten() {
         if (call.requestBody() != null) {
             return call.requestBody().written();
@@ -65,12 +67,12 @@
         return call.body().length == 0 ? connection.bytesSent() > bytesSentBefore : !unwritten.hasRemaining();
     }
 
-    /** What was read of the response's body so far. */
+    /** Returns the bytes of the response body that were read so far. */
     byte[] bufferedBody() {
         return body.toByteArray();
     }
 
-    /** The head is sent, or queued to be. */
+    /** Called when the head of the request is sent, or queued for sending. */
     @Override
     public void completed(ClientExchange exchange) {
         exchange.setResponseListener(new ClientCallback<>() {
@@ -97,8 +99,9 @@
     }
 
     /**
-     * Undertow closes a connection that is not to be kept as it reads the response's last bytes, before they are handed
-     * on: that response is complete.
+     * Fails the exchange when its connection was closed, unless it is streaming or within a read: Undertow closes a
+     * connection that is not kept alive while it reads the last bytes of the response, before it returns them, and that
+     * response is complete.
      */
     void connectionClosed() {
         if (!isReading && !isStreaming) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Whatever Undertow throws at a response that it can't read, the exchange ends. */
+    /** Runs a step, and fails the exchange on any exception that Undertow throws for a response that it can't read. */
     private void guarded(Runnable step) {
         try {
             step.run();
@@ -151,7 +154,7 @@
         }
     }
 
-    /** The body's length in bytes; -1 where the head does not give it. */
+    /** Returns the length of the body in bytes, or -1 if the head does not announce it. */
     private static long length(ClientResponse head) {
         String length = head.getResponseHeaders().getFirst(Headers.CONTENT_LENGTH);
         return length == null ? -1 : Long.parseLong(length.trim());
--- a/daemon/src/main/java/portrelay/net/connection/HttpResult.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpResult.java
@@ -5,23 +5,25 @@
 import portrelay.net.http.BodyTransfer;
 
 /**
- * How an exchange ended.
+ * The result of an exchange.
  *
- * @param status the response's, or 0 where the connection was lost or what came was no complete response
- * @param body the complete body; where there is a remainder what has been read so far, which the remainder writes too
- * @param requestWritten whether the request's last byte was sent; of interest where the status is 0
- * @param remainder null where the response is complete; else it has only begun, and the owner of this result either
- *     transfers the remainder or cancels it
+ * @param status the status code of the response, or 0 if the connection was lost or the response was incomplete or
+ *     malformed
+ * @param headers the headers of the response; empty if the status is 0
+ * @param body the complete body; if there is a remainder, the bytes read so far, which the remainder writes as well
+ * @param requestWritten whether the last byte of the request was sent; relevant if the status is 0
+ * @param remainder null if the response is complete; otherwise the rest of the body, which the owner of this result
+ *     must either transfer or cancel
  */
 public record HttpResult(int status, HeaderMap headers, byte[] body, boolean requestWritten, BodyRemainder remainder) {
 
-    /** What is still to come of a long response. One of these is called, once. */
+    /** The unread rest of a long response. Exactly one of the methods is called, once. */
     public interface BodyRemainder {
 
-        /** Writes what has been read and forwards the rest as it comes; the listener is told of the end. */
+        /** Writes the bytes read so far and forwards the rest as it arrives; the listener is notified of the end. */
         void transferTo(StreamSinkChannel sink, BodyTransfer.Listener listener);
 
-        /** Closes the connection that the response comes on. */
+        /** Closes the connection that carries the response. */
         void cancel();
     }
 
--- a/daemon/src/main/java/portrelay/net/connection/RequestBody.java
+++ b/daemon/src/main/java/portrelay/net/connection/RequestBody.java
@@ -7,22 +7,29 @@
 import portrelay.net.http.BodyTransfer;
 import portrelay.net.http.TransferTimeouts;
 
-/** A long body on its way from a client to one upstream; it is forwarded as it comes, once, and not kept. */
+/** A long request body, forwarded from a client to one upstream as it arrives. It is sent once and not buffered. */
 public final class RequestBody implements BodyTransfer.Listener {
 
-    /** A client that is silent for 2.5 s or sends less than 8 KiB a second has failed, an upstream after 10 s. */
+    /**
+     * A client has failed if it is silent for 2.5 s or sends less than 8 KiB per second; an upstream has failed if it
+     * reads nothing for 10 s.
+     */
     private static final TransferTimeouts TIMEOUTS = new TransferTimeouts(2.5, 8 * 1024, 10);
 
-    /** The client's side of it. */
+    /** Receives the events of the client's side of the transfer. Called on the loop. */
     public interface Listener {
 
-        /** The last byte has come and was forwarded. */
+        /** Called when the last byte was received and forwarded. */
         void forwarded();
 
-        /** Asked before the last byte is forwarded: whether the client is still there. */
+        /** Whether the client is still connected; called before the last byte is forwarded. */
         boolean isClientWaiting();
 
-        /** The client left, stopped sending, or sent more than {@link HttpCall#MAX_BODY}. */
+        /**
+         * Called when the client left, stopped sending, or sent more than {@link HttpCall#MAX_BODY}.
+         *
+         * @param isTooLong whether the body exceeded the maximum length
+         */
         void clientFailed(boolean isTooLong);
     }
 
@@ -31,7 +38,7 @@
     private final StreamSourceChannel source;
     private final byte[] beginning;
     private final long length;
-    /** Null until an attempt takes the body. */
+    /** Null until an attempt starts to send the body. */
     private BodyTransfer transfer;
 
     private Listener listener;
@@ -41,9 +48,11 @@
     private boolean isStopped;
 
     /**
-     * @param source the client's; it stays its exchange's
-     * @param beginning what has been read already
-     * @param length in bytes, -1 where the client does not give it
+     * Creates a body whose transfer has not started.
+     *
+     * @param source the channel of the client's exchange, which remains its owner
+     * @param beginning the bytes that have already been read
+     * @param length in bytes, -1 if the client does not announce it
      */
     public RequestBody(EventLoop loop, ByteBufferPool pool, StreamSourceChannel source, byte[] beginning, long length) {
         this.loop = loop;
@@ -53,7 +62,7 @@
         this.length = length;
     }
 
-    /** In bytes, -1 where the client does not give it. */
+    /** Returns the length in bytes, or -1 if the client does not announce it. */
     public long length() {
         return length;
     }
@@ -63,12 +72,12 @@
         return isWritten;
     }
 
-    /** Has to be set before an attempt takes the body. */
+    /** Sets the listener; must be called before an attempt starts to send the body. */
     public void listener(Listener clientSide) {
         listener = clientSide;
     }
 
-    /** Called once when the last byte was sent to the upstream. */
+    /** Sets a callback that runs once, when the last byte was sent to the upstream. */
     public void onWritten(Runnable then) {
         writtenListener = then;
     }
@@ -76,20 +85,20 @@
     /**
      * Starts the transfer.
      *
-     * @param failed called where the upstream takes no more
-     * @throws IllegalStateException where it is called a second time, or after {@link #stop}
+     * @param failed called if the upstream accepts no more bytes
+     * @throws IllegalStateException if called a second time, or after {@link #stop}
      */
     void transferTo(StreamSinkChannel sink, Runnable failed) {
         upstreamFailed = failed;
         if (isStopped || transfer != null) {
-            throw new IllegalStateException("a long body is forwarded once");
+            throw new IllegalStateException("a streamed body can be sent only once, and not after it was stopped");
         }
         transfer = new BodyTransfer(
                 loop, pool, source, sink, beginning, new BodyTransfer.Size(length, HttpCall.MAX_BODY), TIMEOUTS, this);
         transfer.start();
     }
 
-    /** The request has its response: no more of the body is read. */
+    /** Stops the transfer because the request has its response; no more of the body is read. */
     public void stop() {
         isStopped = true;
         if (transfer != null) {
@@ -104,7 +113,7 @@
 
     @Override
     public void transferred() {
-        // Nobody waits for less than the complete body.
+        // The listener is only notified of the complete body.
     }
 
     @Override
--- a/daemon/src/main/java/portrelay/net/connection/ResponseFramingFilter.java
+++ b/daemon/src/main/java/portrelay/net/connection/ResponseFramingFilter.java
@@ -7,40 +7,41 @@
 import portrelay.net.http.ReadFilter;
 
 /**
- * The lowest conduit of an upstream's connection: Undertow's client sees one well-formed response for each request, no
- * interim response ahead of it and nothing behind it. Anything else fails as a read, at once. Owns its buffers.
+ * The lowest conduit of an outgoing connection. Passes exactly one well-formed response per request on to Undertow's
+ * client, without interim responses before it and without bytes after it. On anything else, the read fails at once.
+ * Owns its buffers.
  */
 final class ResponseFramingFilter extends ReadFilter {
 
     private static final int READ_BYTES = 16 * 1024;
     private static final int HEAD_BYTES = 1024;
 
-    /** Bytes as they came, not yet parsed. */
+    /** Received bytes that are not yet parsed. */
     private final ByteBuffer raw = ByteBuffer.allocate(READ_BYTES).limit(0);
-    /** The head that is being read, as the filter may have to change it. */
+    /** The head that is being read; buffered because the filter may have to change it. */
     private ByteBuffer head = ByteBuffer.allocate(HEAD_BYTES);
-    /** Well-formed and not yet handed on; a view of one of the two above. */
+    /** Well-formed bytes that are not yet passed on; a view of {@link #raw}, or the filtered head. */
     private ByteBuffer ready = ByteBuffer.allocate(0);
 
-    /** Null before the first request. */
+    /** The parser of the current response; null before the first request. */
     private Framing framing;
 
     ResponseFramingFilter(StreamSourceConduit next) {
         super(next);
     }
 
-    /** A request is sent: one response may come. */
+    /** Allows one response; called when a request is sent. */
     void expectResponse() {
         framing = Framing.ofResponse();
         head.clear();
     }
 
-    /** Whether the response came to its own end, and not only to the connection's. */
+    /** Whether the response is complete by its own framing, or is delimited by the end of the connection. */
     boolean isResponseComplete() {
         return framing.isComplete() || framing.readsUntilClose();
     }
 
-    /** Whether nothing has come but the response. */
+    /** Whether the response is complete and no further bytes were received. */
     boolean hasNothingUnread() {
         return framing.isComplete() && !raw.hasRemaining() && !ready.hasRemaining();
     }
@@ -67,8 +68,9 @@
     }
 
     /**
-     * Whatever comes now belongs to no request. It is a failure and not an end, as a connection that Undertow shuts
-     * down stays open for 10 s where the other side does not close it too.
+     * Reads while no response is expected; any byte received now belongs to no request. Reports it as a failure rather
+     * than as the end of the stream, as a connection that Undertow shuts down stays open for 10 s if the other side
+     * does not close it too.
      */
     private int readWhileIdle(ByteBuffer target) throws IOException {
         int count = next.read(target);
@@ -102,7 +104,7 @@
         }
     }
 
-    /** The head without headers that hold control characters: Undertow would fail the response for them. */
+    /** Returns the head without the headers that contain control characters, as Undertow would fail the response. */
     private static ByteBuffer withoutUnreadableHeaders(ByteBuffer head) {
         ByteBuffer kept = ByteBuffer.allocate(head.remaining());
         int lineStart = 0;
--- a/daemon/src/main/java/portrelay/net/connection/StreamedResponse.java
+++ b/daemon/src/main/java/portrelay/net/connection/StreamedResponse.java
@@ -6,12 +6,12 @@
 import portrelay.net.http.TransferTimeouts;
 
 /**
- * A long response whose first bytes have come. Closes the connection where it is cancelled or breaks off; where it is
- * complete the connection is free again.
+ * A long response whose first bytes have been received. Closes the connection if the response is cancelled or breaks
+ * off; once the response is complete, the connection can carry the next exchange.
  */
 final class StreamedResponse implements HttpResult.BodyRemainder, BodyTransfer.Listener {
 
-    /** An upstream may be silent for 10 s and send as slowly as it likes, a client has to read on within 5 s. */
+    /** An upstream may be silent for 10 s and has no minimum rate; a client must continue to read within 5 s. */
     private static final TransferTimeouts TIMEOUTS = new TransferTimeouts(10, 0, 5);
 
     private final HttpConnection connection;
--- a/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
+++ b/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
@@ -9,38 +9,41 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * Moves one body from a source to a sink in pieces as they come. Owns one pooled buffer while it has bytes that are not
- * yet written, and reads nothing meanwhile: the slower side sets the pace. The channels stay their exchanges'. Tells
- * its listener once that the body is complete or which side failed; after {@link #stop} nothing.
+ * Moves one body from a source to a sink, piece by piece as it arrives. Holds one pooled buffer while there are
+ * unwritten bytes, and reads nothing meanwhile, so that the slower side determines the rate. The channels remain owned
+ * by their exchanges. Notifies its listener once that the body is complete or which side failed; after {@link #stop},
+ * it makes no further calls.
  */
 public final class BodyTransfer {
 
-    /** Called on the loop. */
+    /** Receives the events of a transfer. Called on the loop. */
     public interface Listener {
 
-        /** Asked at the source's end: whether that is the body's end, and not only the connection's. */
+        /**
+         * Whether the source's end is the end of the body rather than a lost connection; called at the source's end.
+         */
         default boolean isSourceComplete() {
             return true;
         }
 
-        /** Asked once, before the last byte is written: the source counts as failed where it may not be. */
+        /** Whether the last byte may be written; called once before it is. If false, the source counts as failed. */
         default boolean mayComplete() {
             return true;
         }
 
-        /** The last byte is written. */
+        /** Called when the last byte has been written. */
         void completed();
 
-        /** The source ended too early, was too slow or gave too much. */
+        /** Called when the source ended too early, was too slow or delivered too many bytes. */
         void sourceFailed();
 
-        /** The sink takes no more. */
+        /** Called when the sink accepts no more bytes. */
         void sinkFailed();
 
-        /** Bytes have been written. */
+        /** Called each time bytes have been written. */
         void transferred();
 
-        /** Nothing moves until that side gives or takes more; called each time the transfer begins to wait. */
+        /** Called each time the transfer begins to wait until {@code side} delivers or accepts more bytes. */
         default void waitsFor(Side side) {}
     }
 
@@ -51,18 +54,18 @@
     }
 
     /**
-     * In bytes.
+     * The expected and the maximum size of a body.
      *
-     * @param length the body's, -1 where it is unknown
-     * @param max a source that gives more has failed
+     * @param length the length of the body in bytes, -1 if unknown
+     * @param max the maximum in bytes; a source that delivers more has failed
      */
     public record Size(long length, long max) {}
 
-    /** Most bytes that one turn of the loop moves, so that other tasks have their turn between. */
+    /** The maximum number of bytes moved per iteration of the loop, so that other tasks can run in between. */
     private static final int MAX_BYTES_PER_TURN = 256 * 1024;
 
     private static final double CHECK_INTERVAL_SECONDS = 0.5;
-    /** What a read returns at the source's end, as in NIO. */
+    /** The result of a read at the source's end, as in NIO. */
     private static final int AT_END = -1;
 
     private static final int READ_FAILED = -2;
@@ -75,9 +78,9 @@
     private final Size size;
     private final TransferWaits waits;
     private final Listener listener;
-    /** Null while no bytes are held. */
+    /** Null while there are no unwritten bytes. */
     private PooledByteBuffer pooled;
-    /** What is read and not yet written: the pooled buffer, or what had been read before the transfer. */
+    /** The bytes read and not yet written: in the pooled buffer, or read before the transfer started. */
     private ByteBuffer piece;
 
     private boolean isSourceAtEnd;
@@ -85,7 +88,11 @@
     private boolean isOver;
     private long bytesRead;
 
-    /** @param beginning what has been read of the source already */
+    /**
+     * Creates a transfer that has not started.
+     *
+     * @param beginning the bytes that have already been read from the source
+     */
     public BodyTransfer(
             EventLoop loop,
             ByteBufferPool pool,
@@ -106,7 +113,7 @@
         this.bytesRead = beginning.length;
     }
 
-    /** Takes over the channels' callbacks and moves what is there. */
+    /** Sets the callbacks of both channels and moves the bytes that are available. */
     public void start() {
         source.getReadSetter().set(channel -> run());
         sink.getWriteSetter().set(channel -> run());
@@ -114,7 +121,7 @@
         checkPatience();
     }
 
-    /** Gives the buffer back; neither side is touched from here on. */
+    /** Ends the transfer and releases the buffer; neither channel is used afterwards. */
     public void stop() {
         if (!isOver) {
             isOver = true;
@@ -124,7 +131,7 @@
         }
     }
 
-    /** Whether the source gave more than {@link Size#max}. */
+    /** Whether the source delivered more than {@link Size#max} bytes. */
     public boolean isTooLong() {
         return bytesRead > size.max;
     }
@@ -135,7 +142,7 @@
         }
         waits.end(loop.now());
         int written = 0;
-        // The listener may stop the transfer whenever it is called.
+        // The listener may stop the transfer in any of its methods.
         while (written < MAX_BYTES_PER_TURN && !isOver) {
             if (isLastPiece() && !isCompletionAllowed) {
                 isCompletionAllowed = true;
@@ -168,7 +175,7 @@
         return isSourceAtEnd || bytesRead == size.length;
     }
 
-    /** Writes what the sink takes of the piece; 0 where it takes nothing now, or has failed. */
+    /** Writes as much of the piece as the sink accepts; returns 0 if it accepts nothing now or has failed. */
     private int write() {
         try {
             int count = sink.write(piece);
@@ -184,7 +191,7 @@
         }
     }
 
-    /** Reads a piece; false where none has come, or the transfer is over. */
+    /** Reads a piece; returns false if none is available or the transfer is over. */
     private boolean read() {
         int count = readPiece();
         bytesRead += Math.max(0, count);
@@ -205,7 +212,7 @@
         return false;
     }
 
-    /** How many bytes were read, or {@link #AT_END} or {@link #READ_FAILED}. */
+    /** Returns the number of bytes read, or {@link #AT_END} or {@link #READ_FAILED}. */
     private int readPiece() {
         if (pooled == null) {
             pooled = pool.allocate();
@@ -221,7 +228,7 @@
         return count;
     }
 
-    /** What the sink's chunk encoder still holds must not wait for the next piece. */
+    /** Flushes the sink first, so that bytes in its chunk encoder are not delayed until the next piece. */
     private void flushAndAwaitSource() {
         try {
             sink.flush();
--- a/daemon/src/main/java/portrelay/net/http/Framing.java
+++ b/daemon/src/main/java/portrelay/net/http/Framing.java
@@ -5,9 +5,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Follows the messages in a connection's bytes and tells where one ends or stops being well-formed. Stricter than
- * Undertow, which takes a chunk of size "zz" for the last one and an interim response for the final one, and reads a
- * head without an end until memory is used up. Holds the line that is being read, at most 32 KiB.
+ * An incremental parser of HTTP/1.x message framing: detects where each message on a connection ends, or where it stops
+ * being well-formed. Stricter than Undertow, which takes a chunk of size "zz" for the last chunk and an interim
+ * response for the final one, and reads a head without an end until memory is exhausted. Buffers only the current line,
+ * at most 32 KiB.
  */
 public final class Framing {
 
@@ -20,14 +21,14 @@
         AFTER_CHUNK,
         TRAILERS,
         COMPLETE,
-        /** The body ends with the connection. */
+        /** The end of the connection delimits the body. */
         UNTIL_CLOSE,
         MALFORMED
     }
 
-    /** The longest head, trailers included; a longer one is malformed. */
+    /** The maximum length in bytes of a head, trailers included; a longer one is malformed. */
     public static final int MAX_HEAD_BYTES = 32 * 1024;
-    /** The longest line with a chunk's size and extensions, in bytes. */
+    /** The maximum length in bytes of a line with a chunk's size and extensions. */
     private static final int MAX_CHUNK_SIZE_LINE_BYTES = 256;
 
     private static final String VERSION_PREFIX = "HTTP/1.";
@@ -41,18 +42,18 @@
     private static final int NOT_MODIFIED = 304;
 
     private final boolean isResponse;
-    /** What has come of the current line. */
+    /** The part of the current line that was received so far. */
     private final StringBuilder line = new StringBuilder();
 
     private final HeadFields fields = new HeadFields();
     private State state = State.FIRST_LINE;
     private int headBytes;
-    /** Bytes that are missing of the body or the chunk. */
+    /** The number of bytes that are missing from the body or the chunk. */
     private long bytesLeft;
     /** 0 until a response's first line is read. */
     private int status;
 
-    /** Whether the message that is complete is counted in {@link #messages}. */
+    /** Whether the current message, being complete, is counted in {@link #messages}. */
     private boolean isCounted;
 
     private int messages;
@@ -61,52 +62,54 @@
         this.isResponse = isResponse;
     }
 
-    /** One request after another; a head that is ambiguous is left to whoever reads it. */
+    /** Returns a parser of consecutive requests; an ambiguous head is left to the request's reader to reject. */
     public static Framing ofRequests() {
         return new Framing(false);
     }
 
-    /** One response, and nothing behind it; a head that is ambiguous is malformed. */
+    /** Returns a parser of one response that no other bytes may follow; an ambiguous head is malformed. */
     public static Framing ofResponse() {
         return new Framing(true);
     }
 
+    /** Whether the bytes stopped being well-formed. */
     public boolean isMalformed() {
         return state == State.MALFORMED;
     }
 
+    /** Whether the current message is complete by its own framing. */
     public boolean isComplete() {
         return state == State.COMPLETE;
     }
 
-    /** Whether only the connection's end ends the message. */
+    /** Whether only the end of the connection delimits the message. */
     public boolean readsUntilClose() {
         return state == State.UNTIL_CLOSE;
     }
 
-    /** Whether the last head had lines that may be read in more than one way. */
+    /** Whether the last head had lines that can be interpreted in more than one way. */
     public boolean isAmbiguous() {
         return fields.isAmbiguous();
     }
 
-    /** How many messages are complete. */
+    /** Returns the number of complete messages. */
     public int messages() {
         return messages;
     }
 
-    /** Whether nothing has come of a message that is not complete. */
+    /** Whether no byte of an incomplete message was received. */
     public boolean isBetweenMessages() {
         return state == State.COMPLETE || state == State.FIRST_LINE && headBytes == 0;
     }
 
-    /** Whether it stands in the head of a message, or before it. */
+    /** Whether the parser is within the head of a message, or before it. */
     public boolean isInHead() {
         return state == State.FIRST_LINE || state == State.HEADERS;
     }
 
     /**
-     * Whether the head that has just ended is that of an interim response (1xx); then the next head is followed. All of
-     * them together may be as long as one head.
+     * Skips an interim response (1xx): if the head that has just ended belongs to one, starts the next head and returns
+     * true. The heads of all interim responses and of the final one share the length limit of a single head.
      */
     public boolean skipInterimResponse() {
         if (!isInterim() || isInHead() || isMalformed()) {
@@ -119,8 +122,8 @@
     }
 
     /**
-     * Moves the buffer's position over the bytes that are well-formed, up to the end of a head, of a response or of the
-     * buffer; where the message is malformed, to before the line that makes it so.
+     * Advances the position of the buffer past well-formed bytes, up to the end of a head, of a response or of the
+     * buffer. If the message is malformed, the position stops before the part of the offending line in this buffer.
      */
     public void follow(ByteBuffer bytes) {
         boolean wasInHead = isInHead();
@@ -186,7 +189,7 @@
         }
     }
 
-    /** Counts the character that was added last; chunk-size lines have a limit of their own and are not counted. */
+    /** Counts the last character added and checks the limits; chunk-size lines have their own limit and don't count. */
     private boolean exceedsLimits() {
         if (state == State.CHUNK_SIZE || state == State.AFTER_CHUNK) {
             return line.length() > MAX_CHUNK_SIZE_LINE_BYTES || headBytes > MAX_HEAD_BYTES;
@@ -195,7 +198,9 @@
         return line.length() > MAX_HEAD_BYTES || headBytes > MAX_HEAD_BYTES;
     }
 
-    /** Checked at each character: what is not HTTP may never end its line. */
+    /**
+     * Whether the line may still be a first line; checked per character, as data that isn't HTTP may never end a line.
+     */
     private boolean mayBeFirstLine() {
         int last = line.length() - 1;
         return !isResponse
@@ -204,7 +209,7 @@
                 || line.charAt(last) == VERSION_PREFIX.charAt(last);
     }
 
-    /** A bare line feed ends lines in the heads of requests alone. */
+    /** Handles the end of a line. A bare line feed ends a line only in the head of a request. */
     private void endLine() {
         boolean hasCarriageReturn = line.length() > 1 && line.charAt(line.length() - 2) == '\r';
         String text = line.substring(0, line.length() - (hasCarriageReturn ? 2 : 1));
@@ -240,8 +245,8 @@
     }
 
     /**
-     * What follows the head (RFC 9112, 6.3). An ambiguous head leaves open where its message ends: a request's is let
-     * through with all that follows, for its reader to answer and end the connection.
+     * Returns the state after the head (RFC 9112, 6.3). With an ambiguous head, the end of the message is unknown: a
+     * request is passed through with all bytes that follow, so that its reader answers it and closes the connection.
      */
     private State headEnd() {
         if (fields.isAmbiguous() || fields.hasLengthAndCoding()) {
@@ -262,8 +267,9 @@
     }
 
     /**
-     * A response that only the connection's end delimits can't be told from an incomplete one, unless that end was
-     * announced: then any end but a reset counts.
+     * Returns the state after the head of a response without a length. A response that is delimited only by the end of
+     * the connection can't be distinguished from an incomplete one, unless that end was announced; then any end except
+     * a reset is accepted.
      */
     private State withoutLength() {
         return status == OK && !fields.closesConnection() ? State.MALFORMED : State.UNTIL_CLOSE;
--- a/daemon/src/main/java/portrelay/net/http/HeadFields.java
+++ b/daemon/src/main/java/portrelay/net/http/HeadFields.java
@@ -2,15 +2,15 @@
 
 import java.util.regex.Pattern;
 
-/** The header fields of one message that say where its body ends. */
+/** The header fields of one message that determine where its body ends. */
 final class HeadFields {
 
     private static final String CONTENT_LENGTH = "content-length";
     private static final String TRANSFER_ENCODING = "transfer-encoding";
     private static final String CONNECTION = "connection";
-    /** Nine digits, as many as a request's Content-Length may have in {@code net.client}. */
+    /** At most nine digits, the same limit as {@code net.client} has for the Content-Length of a request. */
     private static final Pattern LENGTH = Pattern.compile("\\d{1,9}");
-    /** The characters of a field's name (RFC 9110, 5.6.2), by their code. */
+    /** Whether a character may occur in a field name (RFC 9110, 5.6.2), indexed by its code. */
     private static final boolean[] IS_TOKEN = new boolean[128];
 
     static {
@@ -31,12 +31,12 @@
         closesConnection = false;
     }
 
-    /** Whether a line can be understood in more than one way. */
+    /** Whether any line added so far can be interpreted in more than one way. */
     boolean isAmbiguous() {
         return isAmbiguous;
     }
 
-    /** Whether the length is given and a coding too, one of which another reader could follow. */
+    /** Whether both Content-Length and Transfer-Encoding are present, so that other recipients may use either. */
     boolean hasLengthAndCoding() {
         return length != null && coding != null;
     }
@@ -49,12 +49,12 @@
         return coding != null;
     }
 
-    /** In bytes; only where it is given and nothing is ambiguous. */
+    /** Returns the Content-Length in bytes; call it only if the field is present and nothing is ambiguous. */
     long length() {
         return Long.parseLong(length);
     }
 
-    /** Whether the connection ends with this message. */
+    /** Whether the connection ends after this message. */
     boolean closesConnection() {
         return closesConnection;
     }
@@ -63,14 +63,14 @@
         closesConnection = closes;
     }
 
-    /** Adds a line without its end; false where it is no header field. */
+    /** Adds a line without its line ending; returns false if it is not a header field. */
     boolean add(String line) {
         int colon = nameEnd(line);
         if (colon < 1 || line.indexOf('\r', colon) >= 0) {
             isAmbiguous = true;
             return false;
         }
-        // Called for each line of each message, so no substring is made of fields that do not matter here.
+        // Called for each line of each message, so no substring is created for fields that are not relevant here.
         if (isNamed(line, colon, CONTENT_LENGTH)) {
             String value = line.substring(colon + 1).trim();
             isAmbiguous |= length != null || !LENGTH.matcher(value).matches();
@@ -89,7 +89,9 @@
         return colon == name.length() && line.regionMatches(true, 0, name, 0, colon);
     }
 
-    /** The index of the name's colon; -1 where what stands before it is no name. */
+    /**
+     * Returns the index of the colon after the name, or -1 if the line does not start with a valid name and a colon.
+     */
     private static int nameEnd(String line) {
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
--- a/daemon/src/main/java/portrelay/net/http/HeaderForwarding.java
+++ b/daemon/src/main/java/portrelay/net/http/HeaderForwarding.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** What of a head is forwarded: all headers but the hop-by-hop ones (RFC 9110, 7.6.1) and those of the framing. */
+/** Selects the forwarded headers: all except the hop-by-hop headers (RFC 9110, 7.6.1) and the framing headers. */
 public final class HeaderForwarding {
 
     private static final Set<HttpString> NOT_FORWARDED = Set.of(
@@ -26,7 +26,7 @@
 
     private HeaderForwarding() {}
 
-    /** Adds to {@code to} what is forwarded of {@code from}, in its order. */
+    /** Adds the forwarded headers of {@code from} to {@code to}, in the order of {@code from}. */
     public static void copy(HeaderMap from, HeaderMap to) {
         HeaderValues connection = from.get(Headers.CONNECTION);
         String hopByHop = connection == null ? "" : String.join(",", connection).toLowerCase(Locale.ROOT);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The raw path, also where the target is a complete URI (absolute-form). */
+    /** Returns the raw path, also if the request target is in absolute-form (a complete URI). */
     public static String path(HttpServerExchange exchange) {
         String uri = exchange.getRequestURI();
         int scheme = exchange.isHostIncludedInRequestURI() ? uri.indexOf("://") : -1;
--- a/daemon/src/main/java/portrelay/net/http/ReadFilter.java
+++ b/daemon/src/main/java/portrelay/net/http/ReadFilter.java
@@ -5,9 +5,10 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** A conduit that checks or changes what is read; a subclass says what it does with a read into one buffer. */
+/** A conduit that checks or changes the bytes that are read; a subclass implements the read into a single buffer. */
 public abstract class ReadFilter extends AbstractStreamSourceConduit<StreamSourceConduit> {
 
+    /** Creates a filter that reads from {@code next}. */
     protected ReadFilter(StreamSourceConduit next) {
         super(next);
     }
--- a/daemon/src/main/java/portrelay/net/http/SocketAddresses.java
+++ b/daemon/src/main/java/portrelay/net/http/SocketAddresses.java
@@ -6,7 +6,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Numeric addresses with a port. Host names are never resolved: that would block the loop, and there is no DNS. */
+/**
+ * Parses and formats numeric addresses with a port. Host names are never resolved: DNS is not available, and a lookup
+ * would block the loop.
+ */
 public final class SocketAddresses {
 
     private static final Pattern V4 = Pattern.compile("(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3})\\.(\\d{1,3}):(\\d{1,5})");
@@ -16,7 +19,7 @@
 
     private SocketAddresses() {}
 
-    /** Parses {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; null where the text is no such address. */
+    /** Parses {@code 192.0.2.1:80} or {@code [2001:db8::1]:80}; returns null if the text has another form. */
     public static InetSocketAddress parse(String text) {
         Matcher v4 = V4.matcher(text);
         Matcher v6 = V6.matcher(text);
@@ -38,7 +41,7 @@
         }
     }
 
-    /** As a Host header has it; {@link #parse} reads it. */
+    /** Formats an address as in a Host header; {@link #parse} accepts the result. */
     public static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
--- a/daemon/src/main/java/portrelay/net/http/TransferWaits.java
+++ b/daemon/src/main/java/portrelay/net/http/TransferWaits.java
@@ -1,19 +1,19 @@
 package portrelay.net.http;
 
-/** How long a {@link BodyTransfer} has waited for either side, and whether that was too long. */
+/** Measures how long a {@link BodyTransfer} waits for either side, and detects when that is too long. */
 final class TransferWaits {
 
-    /** The source's rate is taken over windows of so many seconds spent waiting for it. */
+    /** The source's rate is measured over windows of this many seconds spent waiting for it. */
     private static final double RATE_WINDOW_SECONDS = 4;
 
     private final TransferTimeouts timeouts;
-    /** Null while nothing is waited for. */
+    /** The side that the transfer is waiting for; null while it waits for neither. */
     private BodyTransfer.Side waitingFor;
 
     private double waitingSince;
-    /** Seconds that the source was waited for, and bytes that it gave, since its rate was last checked. */
+    /** Seconds spent waiting for the source since the current rate window began. */
     private double sourceWait;
-
+    /** Bytes read from the source since the current rate window began. */
     private long sourceBytes;
 
     TransferWaits(TransferTimeouts timeouts) {
@@ -32,12 +32,12 @@
         waitingFor = null;
     }
 
-    /** So many bytes have been read of the source. */
+    /** Records that {@code bytes} bytes were read from the source. */
     void received(int bytes) {
         sourceBytes += bytes;
     }
 
-    /** The side that is waited for and counts as failed by now; null where neither does. */
+    /** Returns the side that has exceeded its timeout or fallen below its rate; null if neither has. */
     BodyTransfer.Side overdueSide(double now) {
         double waiting = now - waitingSince;
         if (waitingFor == BodyTransfer.Side.SINK && waiting > timeouts.maxSinkSilence()) {
--- a/daemon/src/main/java/portrelay/net/http/WireNames.java
+++ b/daemon/src/main/java/portrelay/net/http/WireNames.java
@@ -3,8 +3,8 @@
 import io.undertow.util.HttpString;
 
 /**
- * Every header, path and field name of the platform's protocol and of the sidecar's configuration file. This is the one
- * place where the names on the wire are mapped to the terms of the code.
+ * Every header, path and field name of the platform's protocol and of the sidecar's configuration file. This class is
+ * the only place that maps the names on the wire to the terms of the code.
  */
 public final class WireNames {
 
@@ -14,19 +14,19 @@
     public static final HttpString REQUEST_ID = new HttpString("X-Trace-Id");
     public static final HttpString REQUEST_CLASS = new HttpString("X-Qos");
     public static final HttpString TENANT = new HttpString("X-Customer");
-    /** Milliseconds that are left until the deadline. */
+    /** The number of milliseconds left until the deadline. */
     public static final HttpString DEADLINE_MS = new HttpString("X-Expires-In-Ms");
-    /** {@link #TRUE} where the client itself retries a request that it got no usable response to. */
+    /** {@link #TRUE} if the client itself retries a request that received no usable response. */
     public static final HttpString RETRIED_BY_CLIENT = new HttpString("X-Second-Try");
 
     public static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
     static final HttpString PROXY_CONNECTION = new HttpString("Proxy-Connection");
 
     // Response headers, from upstreams.
-    /** {@link #TRUE} where the upstream has not executed the request. */
+    /** {@link #TRUE} if the upstream has not executed the request. */
     public static final HttpString NOT_EXECUTED = new HttpString("X-Never-Ran");
 
-    /** What a header holds that is a flag. */
+    /** The value of a header that is a set flag. */
     public static final String TRUE = "1";
 
     // Readiness of the sidecar, for clients.
@@ -34,7 +34,7 @@
 
     // The watch call to discovery.
     public static final String ENDPOINTS_PATH = "/discovery/hosts";
-    /** Query parameter: the last version that the caller has. */
+    /** Query parameter: the last endpoint list version that the caller has. */
     public static final String AFTER_VERSION = "index";
     /** Query parameter: how long the call may wait for a newer version, in milliseconds. */
     public static final String WATCH_WAIT_MS = "wait";
@@ -59,7 +59,7 @@
     public static final String HEALTH_DRAINING = "DRAINING";
     public static final String HEALTH_GONE = "DELETED";
 
-    // Operators' calls.
+    // Operator calls.
     public static final String ADMIN_READINESS_PATH = "/control/ready";
     public static final String ADMIN_OUT_OF_SERVICE_PATH = "/control/out-of-service";
     public static final String ADMIN_IN_SERVICE_PATH = "/control/in-service";
--- a/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
+++ b/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
@@ -20,9 +20,13 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.MonotonicClock;
 
+/** Tests which requests an {@link HttpConnection} reports as written. */
 class HttpConnectionTest {
 
-    /** A cancellation may cross the response in the mailbox; guards against an executed request taken for unsent. */
+    /**
+     * A cancellation may be in the mailbox when the response arrives. Guards against an executed request being reported
+     * as not sent.
+     */
     @Test
     void aCompletedExchangeCountsAsWritten() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -36,7 +40,7 @@
                     (InetSocketAddress) listener.getLocalSocketAddress(),
                     5,
                     connection -> connection.exchange(call, 9, result -> written.complete(connection.written())),
-                    () -> written.completeExceptionally(new AssertionError("no connection"))));
+                    () -> written.completeExceptionally(new AssertionError("the connection was not opened"))));
             try (Socket upstream = listener.accept()) {
                 upstream.getInputStream().read();
                 String answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
--- a/daemon/src/test/java/portrelay/net/http/BodyTransferTest.java
+++ b/daemon/src/test/java/portrelay/net/http/BodyTransferTest.java
@@ -19,13 +19,14 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.MonotonicClock;
 
+/** Tests that a listener can stop a {@link BodyTransfer} from within a callback. */
 @Timeout(20)
 class BodyTransferTest {
 
     private static final TransferTimeouts TIMEOUTS = new TransferTimeouts(5, 0, 5);
     private static final BodyTransfer.Size UNKNOWN_LENGTH = new BodyTransfer.Size(-1, 1000);
 
-    /** Stops the transfer as soon as it has moved something. */
+    /** Stops the transfer after its first write, and counts all other calls. */
     private static final class StoppingListener implements BodyTransfer.Listener {
         private BodyTransfer transfer;
         private int otherCalls;
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Guards against a read, and a buffer that is never given back, after the listener has stopped the transfer. */
+    /** Guards against a read, and a buffer that is never released, after the listener has stopped the transfer. */
     @Test
     void aTransferThatItsListenerStopsReadsNothingMore() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -78,7 +79,7 @@
                     TIMEOUTS,
                     listener);
             listener.transfer.start();
-            assertEquals(0, listener.otherCalls, "called after the stop");
+            assertEquals(0, listener.otherCalls, "calls of the listener after it stopped the transfer");
             return from.getLeftSide().read(ByteBuffer.allocate(100));
         });
         loop.execute(unread);
