--- a/core/src/test/java/portrelay/policy/ConcurrencyLimitTest.java
+++ b/core/src/test/java/portrelay/policy/ConcurrencyLimitTest.java
@@ -10,92 +10,95 @@
 import portrelay.model.Outcome;
 import portrelay.model.RequestId;
 
-/** How many attempts may be in flight, and what happens to requests beyond that. Parentheses name simulated runs. */
+/**
+ * Tests how many attempts may be in flight, and what happens to requests beyond that limit. Names in parentheses are
+ * the simulated runs that showed a failure.
+ */
 class ConcurrencyLimitTest {
 
     private final LoadBalancerHarness harness = new LoadBalancerHarness(7);
 
-    /** Guards against sending less because of lost answers, although upstreams do their work. */
+    /** Guards against a limit that falls because answers are lost, although the upstreams execute the attempts. */
     @Test
     void lostAnswersDoNotLowerTheConcurrencyLimit() {
         harness.listReady(8);
-        List<LoadBalancerHarness.Sent> lost = new ArrayList<>();
-        int seen = 0;
+        List<LoadBalancerHarness.SentAttempt> unanswered = new ArrayList<>();
+        int handledCount = 0;
         for (int i = 0; i < 3000; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
             harness.advance(0.005);
-            while (seen < harness.sent.size()) {
-                LoadBalancerHarness.Sent attempt = harness.sent.get(seen++);
+            while (handledCount < harness.sent.size()) {
+                LoadBalancerHarness.SentAttempt attempt = harness.sent.get(handledCount++);
                 if (attempt.request().value().hashCode() % 4 == 0) {
-                    lost.add(attempt);
+                    unanswered.add(attempt);
                 } else {
                     harness.attemptEnds(attempt, Outcome.SERVED);
                 }
             }
-            while (!lost.isEmpty() && lost.get(0).time() + 0.6 < harness.now) {
-                harness.attemptEnds(lost.remove(0), Outcome.TIMED_OUT);
+            while (!unanswered.isEmpty() && unanswered.get(0).time() + 0.6 < harness.now) {
+                harness.attemptEnds(unanswered.remove(0), Outcome.TIMED_OUT);
             }
         }
-        assertTrue(harness.rejected.size() < 150, harness.rejected.size() + " rejected");
+        assertTrue(harness.rejected.size() < 150, harness.rejected.size() + " of 3000 requests rejected");
     }
 
     /** Guards against queues that retries and hedges keep full (idukki-maps ie64ef7, kw-kalender-wien i6fc5d9). */
     @Test
-    void overloadedFleetGetsLessAndTheRestIsRejectedWithinAShareOfTheObjective() {
+    void overloadedFleetGetsFewerAttemptsAndOtherRequestsAreRejectedWithinAShareOfTheObjective() {
         harness.listReady(4);
         for (int round = 0; round < 40; round++) {
-            List<LoadBalancerHarness.Sent> mine = new ArrayList<>();
-            int from = harness.sent.size();
+            List<LoadBalancerHarness.SentAttempt> sentInRound = new ArrayList<>();
+            int sentBefore = harness.sent.size();
             for (int i = 0; i < 6; i++) {
-                harness.arrive("q" + round + "-" + i, LoadBalancerHarness.UNSAFE, 2);
+                harness.requestArrives("q" + round + "-" + i, LoadBalancerHarness.UNSAFE, 2);
             }
-            mine.addAll(harness.sent.subList(from, harness.sent.size()));
+            sentInRound.addAll(harness.sent.subList(sentBefore, harness.sent.size()));
             harness.advance(0.5);
-            mine.forEach(s -> harness.attemptEnds(s, Outcome.SERVED));
+            sentInRound.forEach(s -> harness.attemptEnds(s, Outcome.SERVED));
         }
         int sentBefore = harness.sent.size();
         for (int i = 0; i < 10; i++) {
-            harness.arrive("late" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("late" + i, LoadBalancerHarness.UNSAFE, 2);
         }
-        assertTrue(harness.sent.size() - sentBefore <= 3, "still fills an overloaded fleet");
+        assertTrue(harness.sent.size() - sentBefore <= 3, "sent more than three attempts to an overloaded fleet");
         int rejectedBefore = harness.rejected.size();
         harness.advance(0.2);
-        assertTrue(harness.rejected.size() >= rejectedBefore + 7, "kept what it could not send");
+        assertTrue(harness.rejected.size() >= rejectedBefore + 7, "kept requests queued that it could not send");
     }
 
-    /** Guards against a lower limit because of one upstream that fails fast (cartago-controls big-2). */
+    /** Guards against a limit that falls because of one upstream that fails fast (cartago-controls big-2). */
     @Test
     void fastErrorsDoNotLowerTheConcurrencyLimit() {
         harness.listReady(4);
         for (int i = 0; i < 200; i++) {
-            harness.arrive("e" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("e" + i, LoadBalancerHarness.UNSAFE, 2);
             harness.attemptEnds(harness.lastSent(), Outcome.ERROR);
         }
-        int from = harness.sent.size();
+        int sentBefore = harness.sent.size();
         for (int i = 0; i < 3; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
         }
-        assertEquals(from + 3, harness.sent.size());
+        assertEquals(sentBefore + 3, harness.sent.size());
     }
 
-    /** Guards against an overload by sidecars that all start at once (cartago-controls-later big-2). */
+    /** Guards against sidecars that start at the same time and overload the fleet (cartago-controls-later big-2). */
     @Test
-    void initialConcurrencyLimitIsAShareOfTheFleets() {
-        LoadBalancerHarness many = new LoadBalancerHarness(7, 60);
-        many.listReady(6);
-        many.arrive("a", LoadBalancerHarness.SAFE, 2);
-        many.arrive("b", LoadBalancerHarness.SAFE, 2);
-        assertEquals(1, many.sent.size());
-        many.advance(0.03);
-        many.attemptEnds(many.lastSent(), Outcome.SERVED);
-        assertEquals(2, many.sent.size(), "the queued request gets the capacity");
+    void initialConcurrencyLimitIsTheSidecarsShareOfTheFleetsLimit() {
+        LoadBalancerHarness oneOfSixty = new LoadBalancerHarness(7, 60);
+        oneOfSixty.listReady(6);
+        oneOfSixty.requestArrives("a", LoadBalancerHarness.SAFE, 2);
+        oneOfSixty.requestArrives("b", LoadBalancerHarness.SAFE, 2);
+        assertEquals(1, oneOfSixty.sent.size());
+        oneOfSixty.advance(0.03);
+        oneOfSixty.attemptEnds(oneOfSixty.lastSent(), Outcome.SERVED);
+        assertEquals(2, oneOfSixty.sent.size(), "the queued request did not get the capacity that became free");
     }
 
-    /** Guards against an abandoned request keeping the next one out. */
+    /** Guards against a queued request that blocks the next one after its client has left. */
     @Test
     void queuedRequestWhoseClientLeftUsesNoCapacity() {
         LoadBalancerHarness harness = new LoadBalancerHarness(1);
-        RequestId id = harness.arrive("a", LoadBalancerHarness.UNSAFE, 1.4);
+        RequestId id = harness.requestArrives("a", LoadBalancerHarness.UNSAFE, 1.4);
         assertFalse(harness.loadBalancer.hasCapacity(harness.now));
         harness.loadBalancer.clientLeft(harness.now, id);
         assertTrue(harness.loadBalancer.hasCapacity(harness.now));
--- a/core/src/test/java/portrelay/policy/DisabledUpstreamTest.java
+++ b/core/src/test/java/portrelay/policy/DisabledUpstreamTest.java
@@ -12,29 +12,31 @@
 import portrelay.model.RequestId;
 import portrelay.model.UpstreamId;
 
-/** Upstreams that operators disable and enable. */
+/** Tests upstreams that operators disable and enable. */
 class DisabledUpstreamTest {
 
-    private static final UpstreamId DISABLED = new UpstreamId(0);
+    /** The upstream that the tests disable, and most of them enable again. */
+    private static final UpstreamId TOGGLED_UPSTREAM = new UpstreamId(0);
 
-    private static boolean isUsed(LoadBalancerHarness harness, int requests) {
+    /** Serves safe requests one by one, and returns whether an attempt of one of them was sent to the upstream. */
+    private static boolean isToggledUpstreamUsed(LoadBalancerHarness harness, int requests) {
         int before = harness.sent.size();
         for (int i = 0; i < requests; i++) {
-            harness.arrive("u" + harness.now + "-" + i, LoadBalancerHarness.SAFE, 2);
+            harness.requestArrives("u" + harness.now + "-" + i, LoadBalancerHarness.SAFE, 2);
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
             harness.advance(0.01);
         }
         return harness.sent.subList(before, harness.sent.size()).stream()
-                .anyMatch(each -> each.upstream().equals(DISABLED));
+                .anyMatch(each -> each.upstream().equals(TOGGLED_UPSTREAM));
     }
 
     @Test
     void noEndpointUpdateEnablesADisabledUpstream() {
         LoadBalancerHarness harness = new LoadBalancerHarness(1);
         harness.listReady(3);
-        assertTrue(isUsed(harness, 60));
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
-        assertTrue(!isUsed(harness, 60));
+        assertTrue(isToggledUpstreamUsed(harness, 60));
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
+        assertTrue(!isToggledUpstreamUsed(harness, 60));
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
@@ -43,7 +45,7 @@
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(LoadBalancerHarness.endpoint(0, Endpoint.Health.READY, 0)));
-        assertTrue(!isUsed(harness, 60), "drained and ready again");
+        assertTrue(!isToggledUpstreamUsed(harness, 60), "used after it was drained and listed as ready again");
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
@@ -52,13 +54,15 @@
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(LoadBalancerHarness.endpoint(0, Endpoint.Health.READY, harness.now)));
-        assertTrue(!isUsed(harness, 60), "unlisted and listed again");
+        assertTrue(!isToggledUpstreamUsed(harness, 60), "used after it was unlisted and listed again");
         harness.listReady(3);
-        assertTrue(!isUsed(harness, 60), "a complete list");
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, false);
+        assertTrue(!isToggledUpstreamUsed(harness, 60), "used after a complete endpoint list");
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, false);
         harness.advance(15);
-        assertTrue(isUsed(harness, 60), "enabling once is enough however often it was disabled");
+        assertTrue(
+                isToggledUpstreamUsed(harness, 60),
+                "not used: enabling once must be enough however often it was disabled");
     }
 
     @Test
@@ -66,14 +70,14 @@
         for (int seed = 0; seed < 20; seed++) {
             LoadBalancerHarness harness = new LoadBalancerHarness(seed);
             harness.listReady(2);
-            harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
-            harness.arrive("copy", LoadBalancerHarness.SAFE, 2);
+            harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
+            harness.requestArrives("copy", LoadBalancerHarness.SAFE, 2);
             harness.advance(1.5);
             harness.attemptEnds(harness.lastSent(), Outcome.ERROR);
-            harness.arrive("further", LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("further", LoadBalancerHarness.UNSAFE, 2);
             harness.attemptEnds(harness.lastSent(), Outcome.OVERLOADED);
             harness.advance(1);
-            harness.sent.forEach(each -> assertNotEquals(DISABLED, each.upstream()));
+            harness.sent.forEach(each -> assertNotEquals(TOGGLED_UPSTREAM, each.upstream()));
         }
     }
 
@@ -81,19 +85,19 @@
     void enabledUpstreamStaysUnusedWhileTheListSaysDraining() {
         LoadBalancerHarness harness = new LoadBalancerHarness(2);
         harness.listReady(3);
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(LoadBalancerHarness.endpoint(0, Endpoint.Health.DRAINING, 0)));
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, false);
-        assertTrue(!isUsed(harness, 60));
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, false);
+        assertTrue(!isToggledUpstreamUsed(harness, 60));
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(LoadBalancerHarness.endpoint(0, Endpoint.Health.READY, 0)));
         harness.advance(15);
-        assertTrue(isUsed(harness, 60));
+        assertTrue(isToggledUpstreamUsed(harness, 60));
     }
 
     @Test
@@ -101,36 +105,39 @@
         LoadBalancerHarness harness = new LoadBalancerHarness(4);
         harness.listReady(3);
         // Ejected by a failed connection.
-        while (!harness.sent.stream().anyMatch(each -> each.upstream().equals(DISABLED))) {
-            harness.arrive("n" + harness.sent.size(), LoadBalancerHarness.SAFE, 2);
-            LoadBalancerHarness.Sent attempt = harness.lastSent();
-            harness.attemptEnds(attempt, attempt.upstream().equals(DISABLED) ? Outcome.CONNECT_FAILED : Outcome.SERVED);
+        while (!harness.sent.stream().anyMatch(each -> each.upstream().equals(TOGGLED_UPSTREAM))) {
+            harness.requestArrives("n" + harness.sent.size(), LoadBalancerHarness.SAFE, 2);
+            LoadBalancerHarness.SentAttempt attempt = harness.lastSent();
+            harness.attemptEnds(
+                    attempt, attempt.upstream().equals(TOGGLED_UPSTREAM) ? Outcome.CONNECT_FAILED : Outcome.SERVED);
         }
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, false);
-        // While it warms up, from the call on, it gets its share of what a warm one gets.
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, false);
+        // It warms up from the enabling call on, and meanwhile gets a share of the attempts that a warm upstream gets.
         int requests = 300;
         int before = harness.sent.size();
         for (int i = 0; i < requests; i++) {
-            harness.arrive("c" + i, LoadBalancerHarness.SAFE, 2);
+            harness.requestArrives("c" + i, LoadBalancerHarness.SAFE, 2);
             harness.advance(0.004);
             harness.sent
                     .subList(harness.sent.size() - 1, harness.sent.size())
                     .forEach(s -> harness.attemptEnds(s, Outcome.SERVED));
             harness.advance(0.006);
         }
-        long there = harness.sent.subList(before, harness.sent.size()).stream()
-                .filter(s -> s.upstream().equals(DISABLED))
+        long sentWhileWarmingUp = harness.sent.subList(before, harness.sent.size()).stream()
+                .filter(s -> s.upstream().equals(TOGGLED_UPSTREAM))
                 .count();
-        assertTrue(there >= 1 && there < requests / 4, "sent there: " + there);
-        // More than the trials that an ejected one gets.
+        assertTrue(
+                sentWhileWarmingUp >= 1 && sentWhileWarmingUp < requests / 4,
+                "attempts sent to it while it warms up: " + sentWhileWarmingUp);
+        // More attempts than the trials that an ejected upstream gets.
         harness.advance(1);
-        int later = harness.sent.size();
-        isUsed(harness, 60);
-        long sentThere = harness.sent.subList(later, harness.sent.size()).stream()
-                .filter(s -> s.upstream().equals(DISABLED))
+        int sentBeforeLast = harness.sent.size();
+        isToggledUpstreamUsed(harness, 60);
+        long sentLast = harness.sent.subList(sentBeforeLast, harness.sent.size()).stream()
+                .filter(s -> s.upstream().equals(TOGGLED_UPSTREAM))
                 .count();
-        assertTrue(sentThere >= 5, "still ejected: " + sentThere + " of 60");
+        assertTrue(sentLast >= 5, "still ejected: it got " + sentLast + " of 60 requests");
     }
 
     @Test
@@ -138,42 +145,42 @@
         for (int seed = 0; seed < 50; seed++) {
             LoadBalancerHarness harness = new LoadBalancerHarness(seed);
             harness.listReady(10);
-            harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
+            harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
             harness.advance(3);
-            harness.loadBalancer.setDisabled(harness.now, DISABLED, false);
+            harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, false);
             double enabledAt = harness.now;
             boolean wasTried = false;
             for (int i = 0; harness.now < enabledAt + 5; i++) {
-                harness.arrive("t" + i, LoadBalancerHarness.SAFE, 2);
-                wasTried |= harness.lastSent().upstream().equals(DISABLED);
+                harness.requestArrives("t" + i, LoadBalancerHarness.SAFE, 2);
+                wasTried |= harness.lastSent().upstream().equals(TOGGLED_UPSTREAM);
                 harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
                 harness.advance(0.7);
             }
-            assertTrue(wasTried, "seed " + seed);
+            assertTrue(wasTried, "not tried within five seconds, seed " + seed);
         }
     }
 
     @Test
-    void requestIsRejectedAtOnceWhileAllAreDisabledAndServedAfterwards() {
+    void requestIsRejectedAtOnceWhileAllUpstreamsAreDisabledAndSentAfterOneIsEnabled() {
         LoadBalancerHarness harness = new LoadBalancerHarness(5);
         harness.listReady(1);
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, true);
-        RequestId rejected = harness.arrive("none", LoadBalancerHarness.UNSAFE, 2);
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, true);
+        RequestId rejected = harness.requestArrives("none", LoadBalancerHarness.UNSAFE, 2);
         assertEquals(List.of(rejected), harness.rejected);
-        harness.loadBalancer.setDisabled(harness.now, DISABLED, false);
-        harness.arrive("one", LoadBalancerHarness.UNSAFE, 2);
-        assertEquals(DISABLED, harness.lastSent().upstream());
+        harness.loadBalancer.setDisabled(harness.now, TOGGLED_UPSTREAM, false);
+        harness.requestArrives("one", LoadBalancerHarness.UNSAFE, 2);
+        assertEquals(TOGGLED_UPSTREAM, harness.lastSent().upstream());
     }
 
     @Test
     void retryStaysInTheDeduplicationScopeOfADisabledUpstream() {
         LoadBalancerHarness harness = new LoadBalancerHarness(6);
         harness.listReady(6);
-        RequestId id = harness.arrive("n", LoadBalancerHarness.KEYED_IN_CELL, 2);
+        RequestId id = harness.requestArrives("n", LoadBalancerHarness.KEYED_IN_CELL, 2);
         UpstreamId first = harness.lastSent().upstream();
         harness.loadBalancer.setDisabled(harness.now, first, true);
         harness.attemptEnds(harness.lastSent(), Outcome.ERROR);
-        // Only its scope deduplicates a retry, so only the two others of it may get one.
+        // Only the cell of the first attempt deduplicates a retry, so only its two other upstreams may get it.
         harness.sent.stream()
                 .filter(s -> s.request().equals(id))
                 .forEach(s -> assertEquals(first.value() / 3, s.upstream().value() / 3));
--- a/core/src/test/java/portrelay/policy/FleetSimulation.java
+++ b/core/src/test/java/portrelay/policy/FleetSimulation.java
@@ -19,8 +19,8 @@
 import portrelay.model.UpstreamId;
 
 /**
- * Many load balancers in virtual time, with messages that are late or lost, before servers of a few cores each. All
- * random draws come from one seed.
+ * A simulation in virtual time of many load balancers that send to the same servers of a few cores each. Messages
+ * between the load balancers may be delayed, lost or duplicated. All random draws come from one seed.
  */
 final class FleetSimulation {
 
@@ -30,32 +30,36 @@
     private static final double SERVICE_SECONDS = 0.05;
     private static final int FIRST_REPLACEMENT_ID = 1000;
 
-    /** Something that happens at a time; where times are equal, in the order in which it was scheduled. */
+    /** An action that is due at a time; events of the same time run in the order in which they were scheduled. */
     private record Event(double time, long order, Runnable action) {}
 
-    /** One upstream: its cores, an unbounded queue before them, and what all sidecars sent it. */
+    /** One upstream: its cores, their unbounded queue, and the attempts that all sidecars sent to it. */
     final class Server {
         final UpstreamId id;
+        /** For each core, when it has executed all attempts that it got so far. */
         private final double[] coreFreeAt = new double[CORES];
+
         boolean isUnresponsive;
+        /** When the process started; 0 where it is warm. */
         double startedAt;
-        int sent;
-        /** When each request came, since its process started. */
+        /** Attempts received since the counts were last reset. */
+        int sentCount;
+        /** The arrival time of each attempt since the process started. */
         final List<Double> arrivals = new ArrayList<>();
 
         Server(int id) {
             this.id = new UpstreamId(id);
         }
 
-        /** When the request that comes now is done; infinite while it is unresponsive. */
+        /** Receives an attempt now and returns when it will be answered; infinite while unresponsive. */
         private double completesAt() {
-            sent++;
+            sentCount++;
             arrivals.add(now);
             int core = 0;
             for (int i = 1; i < CORES; i++) {
                 core = coreFreeAt[i] < coreFreeAt[core] ? i : core;
             }
-            // While it warms up each request takes longer.
+            // Each attempt takes longer while the server warms up.
             double serviceSeconds = -SERVICE_SECONDS
                     * Math.log(1 - random.nextDouble())
                     / capacityShare(LoadBalancerHarness.SLOW_START, now);
@@ -63,6 +67,7 @@
             return isUnresponsive ? Double.POSITIVE_INFINITY : coreFreeAt[core];
         }
 
+        /** Starts a new process with idle cores, which is warm at once unless it starts cold. */
         void restart(boolean isCold) {
             isUnresponsive = false;
             startedAt = isCold ? now : 0;
@@ -70,7 +75,7 @@
             Arrays.fill(coreFreeAt, now);
         }
 
-        /** Keeps all its cores busy for so long. */
+        /** Keeps all cores busy for the given time from now on. */
         void occupy(double seconds) {
             Arrays.fill(coreFreeAt, now + seconds);
         }
@@ -80,8 +85,9 @@
         }
 
         /**
-         * By how many the most requests within the rule's window exceeded the bound N + 2 * sqrt(N) + 2, N being what
-         * overloads the warming-up cores in that time and the rest random variation; at most 0 where it held.
+         * Returns by how many attempts the fullest overload window of the rule exceeded the bound N + 2 * sqrt(N) + 2,
+         * where N is the number that overloads the warming-up cores in that time and the rest allows for random
+         * variation; at most 0 where the bound held.
          */
         double overloadExcess(SlowStartRule rule) {
             double excess = Double.NEGATIVE_INFINITY;
@@ -100,12 +106,13 @@
             return excess;
         }
 
+        /** The share of its full capacity that the server has at a time; 1 where it is warm. */
         double capacityShare(SlowStartRule rule, double time) {
             double warmUpShare = Math.min(1, Math.max(0, time - startedAt) / rule.warmUpTime());
             return startedAt <= 0 ? 1 : rule.initialShare() + (1 - rule.initialShare()) * warmUpShare;
         }
 
-        /** The most requests that came within so many seconds, since its process started. */
+        /** The highest number of attempts that arrived within the given time, since the process started. */
         int maxArrivalsWithin(double seconds) {
             int max = 0;
             for (int i = 0, from = 0; i < arrivals.size(); i++) {
@@ -123,35 +130,48 @@
     final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.time != b.time ? Double.compare(a.time, b.time) : Long.compare(a.order, b.order));
+    /** The requests without a final answer, for each sidecar. */
     private final Map<LoadBalancerHarness, Set<RequestId>> openRequests = new HashMap<>();
-    private long order;
+
+    private long nextOrder;
     private final Map<RequestId, Double> deadlines = new HashMap<>();
+    /** Requests that have arrived since the counts were last reset. */
     private int arrivalCount;
+
     private int requestCount;
     private int replacementCount;
     double now = 100;
+    /** The probability that a copy of a message is lost. */
     double lossShare;
+    /** The probability that a message is duplicated. */
     double duplicateShare;
+
     double maxDelaySeconds = 0.01;
-    int served;
-    /** The rate of each sidecar over the mean rate; null where all have the mean. */
+    /** Requests whose first answer has arrived, since the counts were last reset. */
+    int servedCount;
+    /** The request rate of each sidecar relative to the mean rate; null where all have the mean rate. */
     double[] relativeRates;
 
-    FleetSimulation(long seed, int size, int upstreams) {
-        this(seed, size, upstreams, true);
+    FleetSimulation(long seed, int sidecarCount, int upstreamCount) {
+        this(seed, sidecarCount, upstreamCount, true);
     }
 
-    FleetSimulation(long seed, int size, int upstreams, boolean messages) {
-        this(seed, size, upstreams, messages, size);
+    FleetSimulation(long seed, int sidecarCount, int upstreamCount, boolean hasMessages) {
+        this(seed, sidecarCount, upstreamCount, hasMessages, sidecarCount);
     }
 
-    /** With a number of sidecars in the settings that may be wrong. */
-    FleetSimulation(long seed, int size, int upstreams, boolean messages, int configuredSidecars) {
+    /**
+     * Creates a fleet whose settings may name a wrong number of sidecars.
+     *
+     * @param hasMessages whether sidecars exchange messages
+     * @param configuredSidecars the number of sidecars in the settings of each
+     */
+    FleetSimulation(long seed, int sidecarCount, int upstreamCount, boolean hasMessages, int configuredSidecars) {
         random = new SplittableRandom(seed);
-        for (int i = 0; i < upstreams; i++) {
+        for (int i = 0; i < upstreamCount; i++) {
             addServer(i);
         }
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < sidecarCount; i++) {
             sidecars.add(new LoadBalancerHarness(
                     seed * 1000 + i,
                     new Topology(
@@ -160,7 +180,7 @@
                             null,
                             Topology.Weights.NOMINAL,
                             Topology.Reports.SILENT,
-                            messages,
+                            hasMessages,
                             false)));
             openRequests.put(sidecars.get(i), new HashSet<>());
         }
@@ -172,19 +192,21 @@
         return server;
     }
 
-    /** Replaces so many of the oldest servers by cold ones; sidecars know with the next list. */
-    void replace(int upstreams) {
+    /**
+     * Replaces the given number of the oldest servers by cold ones; sidecars learn of it from the next endpoint list.
+     */
+    void replace(int upstreamCount) {
         servers.keySet().stream()
                 .sorted(Comparator.comparing(UpstreamId::value))
-                .limit(upstreams)
+                .limit(upstreamCount)
                 .toList()
                 .forEach(servers::remove);
-        for (int i = 0; i < upstreams; i++) {
+        for (int i = 0; i < upstreamCount; i++) {
             addServer(FIRST_REPLACEMENT_ID + replacementCount++).restart(true);
         }
     }
 
-    /** All sidecars get the complete endpoint list now. */
+    /** Gives all sidecars the complete endpoint list now. */
     void publishEndpoints() {
         sidecars.forEach(this::publishEndpoints);
     }
@@ -199,7 +221,7 @@
                         .toList());
     }
 
-    /** Kills a sidecar and starts it again under its number; its attempts break off. */
+    /** Kills a sidecar and starts it again with the same index; its attempts in flight get no end. */
     void restart(int sidecar) {
         LoadBalancerHarness harness = sidecars.get(sidecar);
         harness.sent.clear();
@@ -211,13 +233,14 @@
         publishEndpoints(harness);
     }
 
-    /** Runs so many seconds with so many safe requests a second at each sidecar. */
+    /** Runs with safe requests; {@code rate} is the mean of the requests per second at each sidecar. */
     void run(double seconds, double rate) {
         run(seconds, rate, LoadBalancerHarness.SAFE);
     }
 
+    /** Runs with requests of one class; {@code rate} is the mean of the requests per second at each sidecar. */
     void run(double seconds, double rate, int requestClass) {
-        for (double until = now + seconds; now < until; now += STEP_SECONDS) {
+        for (double endTime = now + seconds; now < endTime; now += STEP_SECONDS) {
             for (Event event = nextEvent(); event != null; event = nextEvent()) {
                 event.action.run();
             }
@@ -225,14 +248,14 @@
                 LoadBalancerHarness harness = sidecars.get(i);
                 harness.advance(now - harness.now);
                 double expected = rate * STEP_SECONDS * (relativeRates == null ? 1 : relativeRates[i]);
-                // More than one a step where one sidecar carries the fleet's traffic.
+                // More than one request a step where one sidecar gets the traffic of the whole fleet.
                 int count = (int) (expected + random.nextDouble());
                 for (int started = 0; started < count; started++) {
                     RequestId id = new RequestId("q" + requestCount++);
                     openRequests.get(harness).add(id);
                     deadlines.put(id, now + BUDGET_SECONDS);
                     arrivalCount++;
-                    harness.arrive(id.value(), requestClass, BUDGET_SECONDS);
+                    harness.requestArrives(id.value(), requestClass, BUDGET_SECONDS);
                 }
                 perform(i);
             }
@@ -244,24 +267,25 @@
     }
 
     private void schedule(double time, Runnable action) {
-        events.add(new Event(time, order++, action));
+        events.add(new Event(time, nextOrder++, action));
     }
 
+    /** Executes the actions that a sidecar has recorded since the last call. */
     private void perform(int sidecar) {
         LoadBalancerHarness harness = sidecars.get(sidecar);
-        for (LoadBalancerHarness.Sent attempt : List.copyOf(harness.sent)) {
+        for (LoadBalancerHarness.SentAttempt attempt : List.copyOf(harness.sent)) {
             double deadline = deadlines.get(attempt.request());
             double endsAt = Math.min(servers.get(attempt.upstream()).completesAt(), deadline);
             boolean isAnswered = endsAt < deadline;
-            // The attempt of a sidecar that was killed meanwhile has no end.
+            // An attempt of a sidecar that was killed meanwhile gets no end.
             schedule(endsAt, () -> {
-                if (harness.attempts.containsKey(attempt.request())) {
+                if (harness.attemptCounts.containsKey(attempt.request())) {
                     attemptEnds(harness, sidecar, attempt, isAnswered ? Outcome.SERVED : Outcome.TIMED_OUT);
                 }
             });
         }
         harness.sent.clear();
-        for (LoadBalancerHarness.Sent attempt : List.copyOf(harness.cancelled)) {
+        for (LoadBalancerHarness.SentAttempt attempt : List.copyOf(harness.cancelled)) {
             schedule(now, () -> {
                 harness.now = now;
                 harness.loadBalancer.attemptEnded(
@@ -283,11 +307,11 @@
     }
 
     private void attemptEnds(
-            LoadBalancerHarness harness, int sidecar, LoadBalancerHarness.Sent attempt, Outcome outcome) {
+            LoadBalancerHarness harness, int sidecar, LoadBalancerHarness.SentAttempt attempt, Outcome outcome) {
         harness.now = now;
         boolean isFirstAnswer = openRequests.get(harness).contains(attempt.request());
         if (outcome == Outcome.SERVED) {
-            served += isFirstAnswer ? 1 : 0;
+            servedCount += isFirstAnswer ? 1 : 0;
             openRequests.get(harness).remove(attempt.request());
         }
         harness.loadBalancer.attemptEnded(
@@ -300,6 +324,7 @@
         perform(sidecar);
     }
 
+    /** Delivers a message after a random delay; the message may be lost or duplicated. */
     private void deliver(int from, int to, String text) {
         for (int copies = random.nextDouble() < duplicateShare ? 2 : 1; copies > 0; copies--) {
             if (random.nextDouble() >= lossShare) {
@@ -324,18 +349,19 @@
         return arrivalCount;
     }
 
-    /** How many attempts each server got, in ascending order. */
+    /** The number of attempts that each server got, in ascending order. */
     int[] sentCounts() {
         return servers.values().stream()
-                .mapToInt(server -> server.sent)
+                .mapToInt(server -> server.sentCount)
                 .sorted()
                 .toArray();
     }
 
+    /** Resets the attempts of all servers and the rejected, served and arrived requests to zero. */
     void resetCounts() {
-        servers.values().forEach(server -> server.sent = 0);
+        servers.values().forEach(server -> server.sentCount = 0);
         sidecars.forEach(harness -> harness.rejected.clear());
-        served = 0;
+        servedCount = 0;
         arrivalCount = 0;
     }
 }
--- a/core/src/test/java/portrelay/policy/FleetSimulationTest.java
+++ b/core/src/test/java/portrelay/policy/FleetSimulationTest.java
@@ -10,14 +10,14 @@
 import portrelay.model.Topology;
 import portrelay.model.UpstreamId;
 
-/** What is harmless in one sidecar and harmful when all do it: many load balancers in virtual time. */
+/** Tests behaviour that is harmless in one sidecar and harmful in all of them: many load balancers in virtual time. */
 class FleetSimulationTest {
 
     private static final int SIDECARS = 14;
     private static final int UPSTREAMS = 60;
     private static final double REQUESTS_PER_SECOND = 60;
 
-    /** Guards against two upstreams with one code in messages: one of them looked idle to all. */
+    /** Guards against two upstreams with the same code in messages, where one of them looks idle to all sidecars. */
     @Test
     void noUpstreamIsOverloadedBecauseItsCodeIsShared() {
         FleetSimulation fleet = new FleetSimulation(1, SIDECARS, UPSTREAMS);
@@ -29,16 +29,16 @@
         double mean = Arrays.stream(sent).average().orElseThrow();
         assertTrue(sent[sent.length - 1] < 3 * mean, Arrays.toString(sent));
         assertTrue(sent[0] > 0.3 * mean, Arrays.toString(sent));
-        assertTrue(fleet.served > 0.97 * fleet.arrivalCount(), fleet.served + " of " + fleet.arrivalCount());
+        assertTrue(fleet.servedCount > 0.97 * fleet.arrivalCount(), fleet.servedCount + " of " + fleet.arrivalCount());
     }
 
-    /** Guards against a datagram for each peer in small fleets, and against counting an own message twice. */
+    /** Guards against one datagram for each peer in small fleets, and against counting an own broadcast twice. */
     @Test
     void broadcastReplacesSingleMessagesAndItsSenderCountsItOnce() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
                 1, new Topology(0, 2, null, Topology.Weights.NOMINAL, Topology.Reports.SILENT, true, false));
         harness.listReady(2);
-        harness.arrive("a", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         assertEquals(
                 List.of(LoadBalancerHarness.ALL_SIDECARS),
                 harness.messages.stream().map(LoadBalancerHarness.Message::to).toList());
@@ -49,17 +49,17 @@
         harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         boolean wasUsedAgain = false;
         for (int i = 0; i < 20; i++) {
-            harness.arrive("b" + i, LoadBalancerHarness.SAFE, 2);
+            harness.requestArrives("b" + i, LoadBalancerHarness.SAFE, 2);
             wasUsedAgain |= harness.lastSent().upstream().equals(first);
             harness.now += 0.05;
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
-        assertTrue(wasUsedAgain, "still counts an attempt that has ended");
+        assertTrue(wasUsedAgain, "an attempt that has ended still counts as in flight");
     }
 
-    /** Guards against hanging upstreams that look idle again, and against the ejection of their successors. */
+    /** Guards against unresponsive upstreams that look idle again, and against the ejection of restarted ones. */
     @Test
-    void unresponsiveZoneCostsItsOwnRequestsOnlyAndIsUsedAgainAfterItsRestart() {
+    void unresponsiveZoneFailsOnlyRequestsSentThereAndIsUsedAgainAfterItsRestart() {
         FleetSimulation fleet = new FleetSimulation(1, SIDECARS, UPSTREAMS);
         fleet.publishEndpoints();
         fleet.run(4, REQUESTS_PER_SECOND, LoadBalancerHarness.UNSAFE);
@@ -70,7 +70,7 @@
         fleet.resetCounts();
         fleet.run(5, REQUESTS_PER_SECOND, LoadBalancerHarness.UNSAFE);
         int sentToUnresponsive =
-                zoneServers.stream().mapToInt(server -> server.sent).sum();
+                zoneServers.stream().mapToInt(server -> server.sentCount).sum();
         assertTrue(
                 sentToUnresponsive < 0.028 * fleet.arrivalCount(), sentToUnresponsive + " of " + fleet.arrivalCount());
         assertTrue(fleet.rejected() < 0.01 * fleet.arrivalCount(), fleet.rejected() + " of " + fleet.arrivalCount());
@@ -78,14 +78,15 @@
         fleet.publishEndpoints();
         fleet.resetCounts();
         fleet.run(5, REQUESTS_PER_SECOND, LoadBalancerHarness.UNSAFE);
-        int fewest = zoneServers.stream().mapToInt(server -> server.sent).min().orElseThrow();
-        assertTrue(fewest >= 10, "a restarted one got " + fewest);
+        int fewest =
+                zoneServers.stream().mapToInt(server -> server.sentCount).min().orElseThrow();
+        assertTrue(fewest >= 10, "fewest attempts at a restarted upstream: " + fewest);
         assertTrue(fleet.rejected() < 0.01 * fleet.arrivalCount(), fleet.rejected() + " of " + fleet.arrivalCount());
         fleet.run(2.5, 0);
         assertEquals(0, fleet.openRequestCount(), "requests without a final answer");
     }
 
-    /** Guards against new sidecars, which know of nothing in flight, filling the same upstreams. */
+    /** Guards against restarted sidecars that know of no attempt in flight and all send to the same upstreams. */
     @Test
     void restartOfMostSidecarsOverloadsNoUpstream() {
         FleetSimulation fleet = new FleetSimulation(2, SIDECARS, UPSTREAMS);
@@ -99,10 +100,10 @@
         int[] sent = fleet.sentCounts();
         double mean = Arrays.stream(sent).average().orElseThrow();
         assertTrue(sent[sent.length - 1] < 3 * mean, Arrays.toString(sent));
-        assertTrue(fleet.served > 0.95 * fleet.arrivalCount(), fleet.served + " of " + fleet.arrivalCount());
+        assertTrue(fleet.servedCount > 0.95 * fleet.arrivalCount(), fleet.servedCount + " of " + fleet.arrivalCount());
     }
 
-    /** Guards against the sum of all sidecars overloading warming-up upstreams, one or most of them at once. */
+    /** Guards against all sidecars together overloading warming-up upstreams, one or most of the fleet at once. */
     @Test
     void warmingUpUpstreamsAreNotOverloadedByAllSidecars() {
         for (int sidecars : new int[] {SIDECARS, 100}) {
@@ -124,17 +125,18 @@
                         .mapToInt(server -> server.maxArrivalsWithin(1))
                         .max()
                         .orElseThrow();
-                String description = sidecars + " sidecars, " + coldCount + " cold: " + max + ", served " + fleet.served
+                String description = sidecars + " sidecars, " + coldCount + " warming up: up to " + max
+                        + " attempts within a second, served " + fleet.servedCount
                         + " of "
                         + fleet.arrivalCount();
-                // Two thirds of what overloads one.
+                // Two thirds of what overloads a warming-up upstream.
                 assertTrue(max < 24, description);
-                assertTrue(fleet.served > 0.9 * fleet.arrivalCount(), description);
+                assertTrue(fleet.servedCount > 0.9 * fleet.arrivalCount(), description);
             }
         }
     }
 
-    /** Guards against attempts that count as in flight for ever: messages are lost or doubled, a sidecar is killed. */
+    /** Guards against attempts that count as in flight for ever after lost or doubled messages or a killed sidecar. */
     @Test
     void inFlightCountsRecoverFromLostMessages() {
         FleetSimulation fleet = new FleetSimulation(4, SIDECARS, 20);
@@ -149,17 +151,17 @@
         fleet.duplicateShare = 0;
         fleet.run(2.1, 0);
         fleet.resetCounts();
-        // Nothing is in flight: all upstreams look idle to all sidecars.
+        // Nothing is in flight any more, so all upstreams must look idle to all sidecars.
         fleet.run(3, 30);
         int[] sent = fleet.sentCounts();
         double mean = Arrays.stream(sent).average().orElseThrow();
         assertTrue(sent[0] > 0.4 * mean, Arrays.toString(sent));
-        assertTrue(fleet.served > 0.97 * fleet.arrivalCount(), fleet.served + " of " + fleet.arrivalCount());
+        assertTrue(fleet.servedCount > 0.97 * fleet.arrivalCount(), fleet.servedCount + " of " + fleet.arrivalCount());
     }
 
-    /** Guards against tables that grow with each replaced upstream. */
+    /** Guards against tables that keep a row for each replaced upstream. */
     @Test
-    void nothingIsKeptOfReplacedUpstreams() {
+    void noStateIsKeptOfReplacedUpstreams() {
         FleetSimulation fleet = new FleetSimulation(6, SIDECARS, UPSTREAMS);
         fleet.publishEndpoints();
         for (int i = 0; i < 5; i++) {
@@ -176,6 +178,6 @@
         }
         fleet.resetCounts();
         fleet.run(2, REQUESTS_PER_SECOND);
-        assertTrue(fleet.served > 0.9 * fleet.arrivalCount(), fleet.served + " of " + fleet.arrivalCount());
+        assertTrue(fleet.servedCount > 0.9 * fleet.arrivalCount(), fleet.servedCount + " of " + fleet.arrivalCount());
     }
 }
--- a/core/src/test/java/portrelay/policy/InvariantsPropertyTest.java
+++ b/core/src/test/java/portrelay/policy/InvariantsPropertyTest.java
@@ -22,7 +22,11 @@
 import portrelay.model.Topology;
 import portrelay.model.UpstreamId;
 
-/** Safety rules (deadline, one final answer, no second effect, draining) in a plain model, checked on random events. */
+/**
+ * Checks the safety rules of the load balancer on random events against a plain model: no attempt after the deadline,
+ * one final answer in time, no second effect, and no attempt to an upstream that has been draining for longer than the
+ * grace period.
+ */
 class InvariantsPropertyTest {
 
     private static final double ANSWER_GRACE_SECONDS = 0.02;
@@ -39,6 +43,7 @@
         Outcome.TIMED_OUT
     };
 
+    /** An attempt as the model sees it; the outcome is null while it is in flight. */
     private static final class ModelAttempt {
         final int upstream;
         final double sentAt;
@@ -54,6 +59,7 @@
         }
     }
 
+    /** A request as the model sees it; closed once it has its final answer or its client has left. */
     private static final class ModelRequest {
         final int requestClass;
         final double deadline;
@@ -65,6 +71,7 @@
             this.deadline = deadline;
         }
 
+        /** Whether repeating the request has no second effect, which is what a rejection tells the client. */
         boolean isSafeToReject() {
             return switch (requestClass) {
                 case LoadBalancerHarness.SAFE, LoadBalancerHarness.KEYED -> true;
@@ -72,6 +79,7 @@
             };
         }
 
+        /** Whether an attempt at the upstream has no second effect. */
         boolean isSafeToSend(int upstream, double now) {
             if (attempts.stream().allMatch(ModelAttempt::isProvablyNotExecuted)
                     || requestClass == LoadBalancerHarness.SAFE) {
@@ -81,7 +89,7 @@
                 return false;
             }
             ModelAttempt first = attempts.stream()
-                    .filter(each -> !each.isProvablyNotExecuted())
+                    .filter(attempt -> !attempt.isProvablyNotExecuted())
                     .findFirst()
                     .orElseThrow();
             RequestClass parameters = LoadBalancerHarness.REQUEST_CLASSES.get(requestClass);
@@ -91,24 +99,28 @@
         }
     }
 
-    /** The load balancer under test; the plain model checks each of its actions first. */
+    /** The load balancer under test; the model checks each of its actions before it takes effect. */
     private static final class CheckedLoadBalancer extends LoadBalancerHarness {
         Map<RequestId, ModelRequest> requests;
-        Map<Integer, Double> notifiedAt;
+        /** When each upstream that is not ready was first listed so. */
+        Map<Integer, Double> notReadySince;
 
         CheckedLoadBalancer(long seed, Topology topology) {
             super(seed, topology);
         }
 
-        /** Probes are answered, fail or stay unanswered; messages are valid, malformed or of unknown senders. */
-        void receiveReports(int detail) {
-            for (UpstreamId each : List.copyOf(probed)) {
+        /**
+         * Answers or fails load probes or leaves them open, and delivers a message, which is valid, malformed or of an
+         * unknown sender.
+         */
+        void receiveReportsAndMessages(int detail) {
+            for (UpstreamId upstream : List.copyOf(probed)) {
                 if (detail % 5 > 0) {
-                    probed.remove(each);
+                    probed.remove(upstream);
                     double inFlight = detail % 5 == 1 ? Double.NaN : detail / 5 % 4;
                     loadBalancer.loadReported(
                             now,
-                            each,
+                            upstream,
                             detail % 5 == 2
                                     ? null
                                     : new LoadReport(inFlight, 0, 0, Double.NaN, Double.NaN, Double.NaN));
@@ -122,9 +134,10 @@
             loadBalancer.peerMessageReceived(now, detail % 12 - 1, text);
         }
 
+        /** Restarts the load balancer, with an empty model. */
         void reset(long seed) {
             requests = new LinkedHashMap<>();
-            notifiedAt = new HashMap<>();
+            notReadySince = new HashMap<>();
             restart(seed);
         }
 
@@ -134,10 +147,11 @@
             int upstream = (int) upstreamId.value();
             assertFalse(request.isClosed, "sent after the final answer");
             assertTrue(now <= request.deadline, "sent after the deadline");
-            assertTrue(request.isSafeToSend(upstream, now), "may have a second effect");
+            assertTrue(request.isSafeToSend(upstream, now), "sent though the request may have a second effect");
             assertTrue(request.attempts.size() < ATTEMPT_RULES.maxAttempts(), "more attempts than allowed");
-            double notified = notifiedAt.getOrDefault(upstream, now);
-            assertTrue(now <= notified + DRAIN_GRACE_SECONDS, "sent to a draining upstream");
+            double drainingSince = notReadySince.getOrDefault(upstream, now);
+            assertTrue(
+                    now <= drainingSince + DRAIN_GRACE_SECONDS, "sent to a draining upstream after the grace period");
             request.attempts.add(new ModelAttempt(upstream, now));
             super.sendAttempt(requestId, upstreamId);
         }
@@ -154,16 +168,18 @@
             close(requestId);
         }
 
+        /** Records a rejection or failure as the final answer. */
         private void close(RequestId requestId) {
             assertFalse(requests.get(requestId).isClosed, "two final answers");
             requests.get(requestId).isClosed = true;
         }
 
-        void list(EndpointUpdate update, int upstream, Endpoint.Health health, double startedAt) {
+        /** Delivers an endpoint update of one upstream. */
+        void updateEndpoint(EndpointUpdate update, int upstream, Endpoint.Health health, double startedAt) {
             if (health == Endpoint.Health.READY) {
-                notifiedAt.remove(upstream);
+                notReadySince.remove(upstream);
             } else {
-                notifiedAt.putIfAbsent(upstream, now);
+                notReadySince.putIfAbsent(upstream, now);
             }
             loadBalancer.endpointsUpdated(
                     now, update, List.of(LoadBalancerHarness.endpoint(upstream, health, startedAt)));
@@ -179,19 +195,19 @@
             loadBalancer.attemptEnded(now, id, index, outcome, isRequestEnded, null);
         }
 
-        /** Ends what is in flight at its deadline; the final answer is due within the grace period after that. */
-        void passDeadlines() {
-            for (Map.Entry<RequestId, ModelRequest> each : new ArrayList<>(requests.entrySet())) {
-                ModelRequest request = each.getValue();
+        /** Times out the attempts whose deadline has passed, and checks for a final answer within the grace period. */
+        void expireDeadlines() {
+            for (Map.Entry<RequestId, ModelRequest> entry : new ArrayList<>(requests.entrySet())) {
+                ModelRequest request = entry.getValue();
                 if (now >= request.deadline) {
                     for (int i = 0; i < request.attempts.size(); i++) {
                         if (request.attempts.get(i).outcome == null) {
-                            attemptEnds(each.getKey(), i, Outcome.TIMED_OUT);
+                            attemptEnds(entry.getKey(), i, Outcome.TIMED_OUT);
                         }
                     }
                     assertTrue(
                             request.isClosed || now <= request.deadline + ANSWER_GRACE_SECONDS,
-                            "no final answer in time");
+                            "no final answer within the grace period after the deadline");
                 }
             }
         }
@@ -204,17 +220,18 @@
     }
 
     @Property(tries = 300, seed = "20261202")
-    void rulesHoldWhereLoadIsProbed(
+    void rulesHoldForASidecarThatProbesLoad(
             @ForAll @Size(min = 40, max = 250) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
         run(steps, new CheckedLoadBalancer(steps.get(0), LoadBalancerHarness.PROBING));
     }
 
     @Property(tries = 300, seed = "20261203")
-    void rulesHoldWhereLoadIsShared(
+    void rulesHoldForASidecarThatSharesLoadWithPeers(
             @ForAll @Size(min = 40, max = 250) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
         run(steps, new CheckedLoadBalancer(steps.get(0), LoadBalancerHarness.sharingLoad(0, 0)));
     }
 
+    /** Derives one event from each step, then runs past all deadlines. */
     private static void run(List<Integer> steps, CheckedLoadBalancer checked) {
         checked.reset(steps.get(0));
         checked.listReady(UPSTREAMS);
@@ -222,24 +239,24 @@
         for (int step : steps) {
             int kind = step % 16;
             int detail = step / 16;
-            checked.receiveReports(detail);
+            checked.receiveReportsAndMessages(detail);
             if (kind < 5) {
                 int requestClass = detail % 4;
                 RequestId id = new RequestId("q" + arrivals++);
                 double budget = 0.1 + detail / 4 % 20 * 0.1;
                 checked.requests.put(id, new ModelRequest(requestClass, checked.now + budget));
-                checked.arrive(id.value(), requestClass, budget);
+                checked.requestArrives(id.value(), requestClass, budget);
             } else if (kind < 11) {
                 endOneAttempt(checked, detail);
             } else if (kind < 13) {
                 for (int i = 0; i < 1 + detail % 60; i++) {
                     checked.advance(0.005);
-                    checked.passDeadlines();
+                    checked.expireDeadlines();
                 }
             } else if (kind == 13) {
                 changeEndpoint(checked, detail);
             } else if (kind == 14) {
-                abandonOne(checked, detail);
+                abandonOneRequest(checked, detail);
             } else if (detail % 8 == 0) {
                 checked.reset(detail);
                 checked.loadBalancer.endpointsUpdated(
@@ -252,11 +269,11 @@
         }
         for (int i = 0; i < 450; i++) {
             checked.advance(0.005);
-            checked.passDeadlines();
+            checked.expireDeadlines();
         }
         assertTrue(
                 checked.requests.values().stream().allMatch(request -> request.isClosed),
-                "a request never got its answer");
+                "a request never got its final answer");
         assertTrue(arrivals == 0 || checked.discoveryPolls > 0);
     }
 
@@ -274,7 +291,7 @@
         if (!ids.isEmpty()) {
             int chosen = detail / OUTCOMES.length % ids.size();
             checked.attemptEnds(ids.get(chosen), attemptNumbers.get(chosen), OUTCOMES[detail % OUTCOMES.length]);
-            // A repeated outcome must change nothing.
+            // A second outcome of the same attempt must change nothing.
             int sentBefore = checked.sent.size();
             checked.loadBalancer.attemptEnded(
                     checked.now, ids.get(chosen), attemptNumbers.get(chosen), Outcome.ERROR, false, null);
@@ -285,19 +302,20 @@
     private static void changeEndpoint(CheckedLoadBalancer checked, int detail) {
         int upstream = detail / 4 % UPSTREAMS;
         switch (detail % 4) {
-            case 0 -> checked.list(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.DRAINING, 0);
-            case 1 -> checked.list(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.GONE, 0);
-            case 2 -> checked.list(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.READY, checked.now - 1);
+            case 0 -> checked.updateEndpoint(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.DRAINING, 0);
+            case 1 -> checked.updateEndpoint(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.GONE, 0);
+            case 2 ->
+                checked.updateEndpoint(EndpointUpdate.INCREMENTAL, upstream, Endpoint.Health.READY, checked.now - 1);
             default -> {
                 for (int i = 0; i < UPSTREAMS; i++) {
-                    checked.notifiedAt.putIfAbsent(i, checked.now);
+                    checked.notReadySince.putIfAbsent(i, checked.now);
                 }
-                checked.list(EndpointUpdate.COMPLETE, upstream, Endpoint.Health.READY, 0);
+                checked.updateEndpoint(EndpointUpdate.COMPLETE, upstream, Endpoint.Health.READY, 0);
             }
         }
     }
 
-    private static void abandonOne(CheckedLoadBalancer checked, int detail) {
+    private static void abandonOneRequest(CheckedLoadBalancer checked, int detail) {
         List<RequestId> open = new ArrayList<>();
         checked.requests.forEach((id, request) -> {
             if (!request.isClosed) {
--- a/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
@@ -24,9 +24,13 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** A load balancer with a manual clock that records its actions; tests play clients, upstreams and peers. */
+/**
+ * A load balancer with a manual clock, whose actions are recorded. Tests act as its clients, upstreams, peers and
+ * discovery. Times are in seconds.
+ */
 class LoadBalancerHarness implements LoadBalancerActions {
 
+    // Ids of the request classes, which are indices of REQUEST_CLASSES.
     static final int SAFE = 0;
     static final int KEYED_IN_CELL = 1;
     static final int UNSAFE = 2;
@@ -40,31 +44,43 @@
             requestClass(UNSAFE, RequestClass.Idempotency.UNSAFE, RequestClass.DeduplicationScope.ALL),
             requestClass(KEYED, RequestClass.Idempotency.KEYED, RequestClass.DeduplicationScope.ALL));
 
+    /** The receiver of a broadcast {@link Message}. */
     static final int ALL_SIDECARS = -1;
+    /** One sidecar, which knows its own attempts only. */
     static final Topology STANDALONE =
             new Topology(0, 1, null, Topology.Weights.NOMINAL, Topology.Reports.SILENT, false, false);
+    /** One of fifty sidecars that probe the load of upstreams and exchange no messages. */
     static final Topology PROBING =
             new Topology(0, 50, null, Topology.Weights.SILENT, Topology.Reports.WITH_PROBES, false, true);
 
-    /** One of ten sidecars, in a zone whose upstreams are 6 * zone and the next five. */
+    /** One of ten sidecars that share their load, in the zone of the six upstreams from 6 * zone on. */
     static Topology sharingLoad(int sidecar, int zone) {
         return new Topology(
                 sidecar, 10, new ZoneId(zone), Topology.Weights.LIVE, Topology.Reports.WITH_ANSWERS, true, false);
     }
 
+    /** A message to one peer, or to {@link #ALL_SIDECARS}. */
     record Message(int to, String text) {}
 
-    record Sent(RequestId request, int index, UpstreamId upstream, double time) {}
+    /** An attempt that was sent or cancelled at a time; the upstream is null where it was cancelled. */
+    record SentAttempt(RequestId request, int index, UpstreamId upstream, double time) {}
 
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     final List<RequestId> rejected = new ArrayList<>();
+    /** The Retry-After seconds of the last rejection. */
     double retryAfter;
+
     final List<RequestId> failed = new ArrayList<>();
-    final List<Sent> cancelled = new ArrayList<>();
+    final List<SentAttempt> cancelled = new ArrayList<>();
+    /** The times of the wake-ups that are still due. */
     final List<Double> wakeUps = new ArrayList<>();
-    final Map<RequestId, Integer> attempts = new LinkedHashMap<>();
+    /** The number of attempts sent for each request. */
+    final Map<RequestId, Integer> attemptCounts = new LinkedHashMap<>();
+
     final List<UpstreamId> probed = new ArrayList<>();
-    final List<UpstreamId> idleClosed = new ArrayList<>();
+    /** The upstreams whose idle connections were closed. */
+    final List<UpstreamId> idleConnectionsClosed = new ArrayList<>();
+
     final List<Message> messages = new ArrayList<>();
     int discoveryPolls;
     boolean canSendToPeers = true;
@@ -72,10 +88,12 @@
     double now = 100;
     LoadBalancer loadBalancer;
 
+    /** Creates a standalone sidecar. */
     LoadBalancerHarness(long seed) {
         this(seed, 1);
     }
 
+    /** Creates one of several sidecars that exchange no messages. */
     LoadBalancerHarness(long seed, int sidecars) {
         this(seed, new Topology(0, sidecars, null, Topology.Weights.NOMINAL, Topology.Reports.SILENT, false, false));
     }
@@ -85,9 +103,10 @@
         restart(seed);
     }
 
+    /** Replaces the load balancer by a new one that knows no endpoint; recorded actions stay. */
     final void restart(long seed) {
         wakeUps.clear();
-        attempts.clear();
+        attemptCounts.clear();
         loadBalancer = new LoadBalancer(
                 this,
                 seed,
@@ -106,7 +125,7 @@
         return new RequestClass(new RequestClassId(id), idempotency, scope, 0.4, 2, 0.7, 1, 0.2, false);
     }
 
-    /** Upstreams 0 to 2 share one cell, 3 to 5 the next, and so on. */
+    /** Returns an endpoint: three consecutive ids share a cell, six a zone, and two instance types alternate. */
     static Endpoint endpoint(int upstream, Endpoint.Health health, double startedAt) {
         return new Endpoint(
                 new UpstreamId(upstream),
@@ -118,7 +137,7 @@
                 new InstanceTypeId(upstream % 2));
     }
 
-    /** An incremental list of upstreams from 0 on with these weights. */
+    /** Delivers an incremental update with the upstreams from 0 on, ready and with these weights. */
     void listWeights(double... weights) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < weights.length; i++) {
@@ -129,6 +148,7 @@
         loadBalancer.endpointsUpdated(now, EndpointUpdate.INCREMENTAL, endpoints);
     }
 
+    /** Delivers a cached and then a complete endpoint list of the given number of ready upstreams, from 0 on. */
     void listReady(int upstreams) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
@@ -138,7 +158,8 @@
         loadBalancer.endpointsUpdated(now, EndpointUpdate.COMPLETE, endpoints);
     }
 
-    RequestId arrive(String name, int requestClass, double budgetSeconds) {
+    /** Delivers a request whose deadline is the given time from now. */
+    RequestId requestArrives(String name, int requestClass, double budgetSeconds) {
         RequestId id = new RequestId(name);
         loadBalancer.requestArrived(
                 now,
@@ -153,20 +174,21 @@
         return id;
     }
 
-    void attemptEnds(Sent attempt, Outcome outcome) {
+    /** Ends an attempt; SERVED also ends its request. */
+    void attemptEnds(SentAttempt attempt, Outcome outcome) {
         attemptEnds(attempt, outcome, null);
     }
 
-    void attemptEnds(Sent attempt, Outcome outcome, LoadReport report) {
+    void attemptEnds(SentAttempt attempt, Outcome outcome, LoadReport report) {
         boolean isRequestEnded = outcome == Outcome.SERVED;
         loadBalancer.attemptEnded(now, attempt.request(), attempt.index(), outcome, isRequestEnded, report);
     }
 
-    Sent lastSent() {
+    SentAttempt lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    /** Moves the clock on, with the wake-ups that fall due on the way. */
+    /** Advances the clock, and delivers the wake-ups that become due meanwhile at their times. */
     void advance(double seconds) {
         double until = now + seconds;
         while (true) {
@@ -183,13 +205,13 @@
 
     @Override
     public void sendAttempt(RequestId request, UpstreamId upstream) {
-        int index = attempts.merge(request, 1, Integer::sum) - 1;
-        sent.add(new Sent(request, index, upstream, now));
+        int index = attemptCounts.merge(request, 1, Integer::sum) - 1;
+        sent.add(new SentAttempt(request, index, upstream, now));
     }
 
     @Override
     public void cancelAttempt(RequestId request, int attempt) {
-        cancelled.add(new Sent(request, attempt, null, now));
+        cancelled.add(new SentAttempt(request, attempt, null, now));
     }
 
     @Override
@@ -235,7 +257,7 @@
 
     @Override
     public void closeIdleConnections(UpstreamId upstream) {
-        idleClosed.add(upstream);
+        idleConnectionsClosed.add(upstream);
     }
 
     @Override
--- a/core/src/test/java/portrelay/policy/LoadBalancerTest.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerTest.java
@@ -15,7 +15,10 @@
 import portrelay.model.RequestId;
 import portrelay.model.UpstreamId;
 
-/** The rules of selection, hedging and retries, and regressions. Parentheses name the simulated run that showed one. */
+/**
+ * Tests the rules of selection, hedging and retries, and regressions. Names in parentheses are the simulated runs that
+ * showed a failure.
+ */
 class LoadBalancerTest {
 
     private final LoadBalancerHarness harness = new LoadBalancerHarness(7);
@@ -23,7 +26,7 @@
     @Test
     void oneHedgeGoesToAnotherUpstreamAtHalfTheBudgetAndTheLoserIsCancelled() {
         harness.listReady(6);
-        harness.arrive("a", LoadBalancerHarness.SAFE, 0.6);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 0.6);
         harness.advance(0.299);
         assertEquals(1, harness.sent.size());
         harness.advance(0.002);
@@ -36,12 +39,12 @@
     }
 
     @Test
-    void fiveLostHedgesInARowEjectAnUpstreamUntilATrial() {
+    void fiveLossesToHedgesInARowEjectAnUpstreamUntilItsTrial() {
         harness.listReady(6);
-        for (int i = 0, wins = 0; wins < 5; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.SAFE, 0.6);
-            wins += harness.lastSent().upstream().value() == 0 ? 1 : 0;
-            LoadBalancerHarness.Sent first = harness.lastSent();
+        for (int i = 0, lossesToHedges = 0; lossesToHedges < 5; i++) {
+            harness.requestArrives("q" + i, LoadBalancerHarness.SAFE, 0.6);
+            lossesToHedges += harness.lastSent().upstream().value() == 0 ? 1 : 0;
+            LoadBalancerHarness.SentAttempt first = harness.lastSent();
             if (first.upstream().value() == 0) {
                 harness.advance(0.31);
                 harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
@@ -50,88 +53,93 @@
                 harness.advance(0.05);
                 harness.attemptEnds(first, Outcome.SERVED);
             }
-            // Long enough for latencies to be forgotten: lost hedges alone are to decide.
-            harness.advance(wins < 5 ? 6 : 0.01);
+            // Long enough for latencies to be forgotten, so that the losses to hedges alone decide.
+            harness.advance(lossesToHedges < 5 ? 6 : 0.01);
         }
-        long before = firstSendsTo(0);
+        long before = firstAttemptsTo(0);
         for (int i = 0; i < 20; i++) {
-            harness.arrive("r" + i, LoadBalancerHarness.SAFE, 0.6);
+            harness.requestArrives("r" + i, LoadBalancerHarness.SAFE, 0.6);
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
-        assertEquals(before, firstSendsTo(0));
+        assertEquals(before, firstAttemptsTo(0));
         harness.advance(20);
-        harness.arrive("trial", LoadBalancerHarness.SAFE, 0.6);
+        harness.requestArrives("trial", LoadBalancerHarness.SAFE, 0.6);
         assertEquals(new UpstreamId(0), harness.lastSent().upstream());
     }
 
-    /** Guards against tables that grow by each upstream that was ever listed. */
+    /** Guards against tables that keep a row for each upstream that was ever listed. */
     @Test
     void unlistedUpstreamIsForgottenOnceNothingIsInFlightThere() {
         harness.listReady(2);
         for (int i = 0; i < 30; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
             if (harness.lastSent().upstream().value() == 0) {
                 harness.attemptEnds(harness.lastSent(), Outcome.CONNECT_FAILED);
             }
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
-        assertEquals(1, firstSendsTo(0));
+        assertEquals(1, firstAttemptsTo(0));
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.COMPLETE,
                 List.of(LoadBalancerHarness.endpoint(1, Endpoint.Health.READY, 0)));
         harness.listReady(2);
         harness.advance(3.5);
-        long before = firstSendsTo(0);
+        long before = firstAttemptsTo(0);
         for (int i = 0; i < 20; i++) {
-            harness.arrive("r" + i, LoadBalancerHarness.SAFE, 0.6);
+            harness.requestArrives("r" + i, LoadBalancerHarness.SAFE, 0.6);
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
-        assertTrue(firstSendsTo(0) > before, "judged by its predecessor");
+        assertTrue(firstAttemptsTo(0) > before, "ejected for the failures of its predecessor of the same id");
     }
 
-    private long firstSendsTo(int upstream) {
+    /** The number of requests whose first attempt was sent to the upstream. */
+    private long firstAttemptsTo(int upstream) {
         return harness.sent.stream()
                 .filter(s -> s.index() == 0 && s.upstream().value() == upstream)
                 .count();
     }
 
-    /** Guards against waiting for the hedge after a fast failure (cartago-controls big-2). */
+    /** Guards against waiting for the hedge after the only attempt failed fast (cartago-controls big-2). */
     @Test
     void retryIsSentAtOnceWhenTheOnlyAttemptFails() {
         harness.listReady(6);
-        harness.arrive("a", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         harness.attemptEnds(harness.lastSent(), Outcome.ERROR);
         assertEquals(2, harness.sent.size());
-        RequestId unsafe = harness.arrive("b", LoadBalancerHarness.UNSAFE, 2);
+        RequestId unsafe = harness.requestArrives("b", LoadBalancerHarness.UNSAFE, 2);
         harness.attemptEnds(harness.lastSent(), Outcome.ERROR);
         assertEquals(List.of(unsafe), harness.failed);
     }
 
-    /** Guards against the sum of several sidecars overloading a warming-up upstream (kw-kalender-wien overload). */
+    /** Guards against several sidecars together overloading a warming-up upstream (kw-kalender-wien overload). */
     @Test
-    void warmingUpUpstreamGetsItsCapacityShareOfAWarmOne() {
-        int cold = 0;
-        int all = 0;
+    void warmingUpUpstreamGetsAtMostItsCapacityShareOfTheAttemptsOfAWarmOne() {
+        int attemptsAtCold = 0;
+        int allAttempts = 0;
         for (int sidecar = 0; sidecar < 6; sidecar++) {
-            LoadBalancerHarness each = new LoadBalancerHarness(sidecar);
-            each.listReady(5);
-            each.loadBalancer.endpointsUpdated(
-                    each.now,
+            LoadBalancerHarness sidecarHarness = new LoadBalancerHarness(sidecar);
+            sidecarHarness.listReady(5);
+            sidecarHarness.loadBalancer.endpointsUpdated(
+                    sidecarHarness.now,
                     EndpointUpdate.INCREMENTAL,
-                    List.of(LoadBalancerHarness.endpoint(5, Endpoint.Health.READY, each.now)));
+                    List.of(LoadBalancerHarness.endpoint(5, Endpoint.Health.READY, sidecarHarness.now)));
             for (int i = 0; i < 200; i++) {
-                each.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
-                each.attemptEnds(each.lastSent(), Outcome.SERVED);
-                each.advance(0.01);
+                sidecarHarness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
+                sidecarHarness.attemptEnds(sidecarHarness.lastSent(), Outcome.SERVED);
+                sidecarHarness.advance(0.01);
             }
-            cold += (int)
-                    each.sent.stream().filter(s -> s.upstream().value() == 5).count();
-            all += each.sent.size();
+            attemptsAtCold += (int) sidecarHarness.sent.stream()
+                    .filter(s -> s.upstream().value() == 5)
+                    .count();
+            allAttempts += sidecarHarness.sent.size();
         }
-        double warm = (all - cold) / 5.0;
+        double meanAttemptsAtWarm = (allAttempts - attemptsAtCold) / 5.0;
         double finalShare = (0.2 + 0.8 * 2 / 10) * Math.sqrt(LoadBalancerHarness.SLOW_START.overloadFactor());
-        assertTrue(cold > 0 && cold <= warm * finalShare + 6, cold + " against " + warm + " at a warm one");
+        assertTrue(
+                attemptsAtCold > 0 && attemptsAtCold <= meanAttemptsAtWarm * finalShare + 6,
+                attemptsAtCold + " attempts at the warming-up upstream, against " + meanAttemptsAtWarm
+                        + " at a warm one");
     }
 
     @Test
@@ -142,22 +150,22 @@
         assertEquals(2, harness.discoveryPolls);
     }
 
-    /** Guards against each sidecar trying a lost upstream five times (kw-kalender-wien-later i4295d4). */
+    /** Guards against five attempts of each sidecar at an upstream that is gone (kw-kalender-wien-later i4295d4). */
     @Test
-    void oneFailedConnectionEjectsAnUpstream() {
+    void oneFailedConnectionAttemptEjectsAnUpstream() {
         harness.listReady(6);
-        harness.arrive("a", LoadBalancerHarness.UNSAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.UNSAFE, 2);
         UpstreamId lost = harness.lastSent().upstream();
         harness.attemptEnds(harness.lastSent(), Outcome.CONNECT_FAILED);
         harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         for (int i = 0; i < 40; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
             assertNotEquals(lost, harness.lastSent().upstream());
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
     }
 
-    /** Guards against a streamed body being sent again, and against its duration being taken for latency. */
+    /** Guards against sending a streamed body again, and against counting its duration as latency of the upstream. */
     @Test
     void singleAttemptRequestIsSentOnceAndItsDurationIsIgnored() {
         LoadBalancerHarness harness = new LoadBalancerHarness(8);
@@ -180,41 +188,47 @@
         }
         assertEquals(40, harness.sent.size());
         assertEquals(40, harness.rejected.size());
-        // After twenty seconds each, the concurrency limit is as at first.
+        // Although each attempt took twenty seconds, the concurrency limit has its initial value.
         for (int i = 0; i < 3; i++) {
-            harness.arrive("q" + i, LoadBalancerHarness.UNSAFE, 2);
+            harness.requestArrives("q" + i, LoadBalancerHarness.UNSAFE, 2);
         }
         assertEquals(43, harness.sent.size());
     }
 
-    /** Guards against a second effect where the list moves the upstream to another scope meanwhile. */
+    /** Guards against a second effect where an update moves the upstream to another scope before the retry. */
     @Test
     void keyedRequestIsRetriedInTheScopeItsFirstAttemptWasSentTo() {
         LoadBalancerHarness harness = new LoadBalancerHarness(1);
         harness.listReady(6);
-        RequestId id = harness.arrive("a", LoadBalancerHarness.KEYED_IN_CELL, 1.4);
-        LoadBalancerHarness.Sent first = harness.lastSent();
+        RequestId id = harness.requestArrives("a", LoadBalancerHarness.KEYED_IN_CELL, 1.4);
+        LoadBalancerHarness.SentAttempt first = harness.lastSent();
         int cell = (int) (first.upstream().value() / 3);
-        Endpoint row = LoadBalancerHarness.endpoint((int) first.upstream().value(), Endpoint.Health.READY, 0);
+        Endpoint listed = LoadBalancerHarness.endpoint((int) first.upstream().value(), Endpoint.Health.READY, 0);
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
                 List.of(new Endpoint(
-                        row.id(), row.health(), 0, 1, new CellId(1 - cell), row.zone(), row.instanceType())));
+                        listed.id(),
+                        listed.health(),
+                        0,
+                        1,
+                        new CellId(1 - cell),
+                        listed.zone(),
+                        listed.instanceType())));
         harness.advance(0.1);
         harness.attemptEnds(first, Outcome.CONNECTION_LOST);
-        LoadBalancerHarness.Sent second = harness.lastSent();
+        LoadBalancerHarness.SentAttempt second = harness.lastSent();
         assertEquals(1, second.index(), "not retried");
         assertEquals(id, second.request());
-        assertEquals(cell, second.upstream().value() / 3, "retried in another scope");
+        assertEquals(cell, second.upstream().value() / 3, "retried in another scope than the first attempt's");
     }
 
-    /** Guards against rejections with nothing in flight, where nearly all warm upstreams are ejected. */
+    /** Guards against rejections while nothing is in flight, because nearly all warm upstreams are ejected. */
     @Test
     void ejectedUpstreamsAreUsedWhereOnlyWarmingUpOnesWithoutCreditAreLeft() {
         LoadBalancerHarness harness = new LoadBalancerHarness(3, 50);
         harness.listReady(3);
-        harness.arrive("fails", LoadBalancerHarness.UNSAFE, 0.4);
+        harness.requestArrives("fails", LoadBalancerHarness.UNSAFE, 0.4);
         for (int upstream = 0; upstream < 3; upstream++) {
             harness.attemptEnds(harness.lastSent(), Outcome.CONNECT_FAILED);
         }
@@ -226,7 +240,7 @@
         int before = harness.sent.size();
         int rejectedBefore = harness.rejected.size();
         for (int i = 0; i < 20; i++) {
-            harness.arrive("then" + i, LoadBalancerHarness.SAFE, 0.4);
+            harness.requestArrives("then" + i, LoadBalancerHarness.SAFE, 0.4);
             if (harness.sent.size() > before + i) {
                 harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
             }
--- a/core/src/test/java/portrelay/policy/RendezvousSubsetTest.java
+++ b/core/src/test/java/portrelay/policy/RendezvousSubsetTest.java
@@ -19,8 +19,8 @@
 import portrelay.model.UpstreamId;
 
 /**
- * Subsets by rendezvous hashing: where upstreams report no load and sidecars exchange messages. Parentheses name
- * simulated runs.
+ * Tests subsets by rendezvous hashing, which are used where upstreams report no load and sidecars exchange messages.
+ * Names in parentheses are the simulated runs that showed a failure.
  */
 class RendezvousSubsetTest {
 
@@ -38,13 +38,13 @@
         return harness;
     }
 
-    /** The peers that it reports its attempts to, by upstream, over so many requests. */
-    private static Map<UpstreamId, Set<Integer>> reportedPeers(LoadBalancerHarness harness, int requests) {
-        Map<UpstreamId, Set<Integer>> peersOf = new HashMap<>();
+    /** Serves requests one by one, and returns for each upstream the peers that got reports of the attempts there. */
+    private static Map<UpstreamId, Set<Integer>> reportReceivers(LoadBalancerHarness harness, int requests) {
+        Map<UpstreamId, Set<Integer>> receiversByUpstream = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             harness.messages.clear();
-            harness.arrive("q" + i, LoadBalancerHarness.SAFE, 2);
-            peersOf.put(
+            harness.requestArrives("q" + i, LoadBalancerHarness.SAFE, 2);
+            receiversByUpstream.put(
                     harness.lastSent().upstream(),
                     harness.messages.stream()
                             .map(LoadBalancerHarness.Message::to)
@@ -52,49 +52,53 @@
             harness.now += 0.05;
             harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         }
-        return peersOf;
+        return receiversByUpstream;
     }
 
-    /** Guards against a hundred sidecars that each meet an upstream too rarely to judge it (calm+mass). */
+    /** Guards against a hundred sidecars that each send too rarely to an upstream to judge it (calm+mass). */
     @Test
-    void allSidecarsAgreeOnTheFourteenThatShareAnUpstream() {
+    void allSidecarsAgreeOnTheFourteenSidecarsThatShareAnUpstream() {
         Map<UpstreamId, Set<Integer>> sharingSidecars = new HashMap<>();
         for (int sidecar = 0; sidecar < SIDECARS; sidecar++) {
-            Map<UpstreamId, Set<Integer>> reported = reportedPeers(harness(sidecar, SIDECARS, UPSTREAMS), 60);
-            assertTrue(reported.size() <= 20, sidecar + " uses " + reported.size());
-            for (Map.Entry<UpstreamId, Set<Integer>> each : reported.entrySet()) {
-                Set<Integer> all = new TreeSet<>(each.getValue());
-                assertTrue(all.add(sidecar), "reports to itself");
-                sharingSidecars.merge(each.getKey(), all, (a, b) -> {
-                    assertEquals(a, b, "who shares " + each.getKey());
+            Map<UpstreamId, Set<Integer>> reported = reportReceivers(harness(sidecar, SIDECARS, UPSTREAMS), 60);
+            assertTrue(
+                    reported.size() <= 20,
+                    sidecar + " is the index of a sidecar that uses too many upstreams: " + reported.size());
+            for (Map.Entry<UpstreamId, Set<Integer>> entry : reported.entrySet()) {
+                Set<Integer> sharing = new TreeSet<>(entry.getValue());
+                assertTrue(sharing.add(sidecar), "a sidecar reports to itself");
+                sharingSidecars.merge(entry.getKey(), sharing, (a, b) -> {
+                    assertEquals(a, b, "sidecars that share " + entry.getKey());
                     return a;
                 });
             }
         }
-        assertEquals(UPSTREAMS, sharingSidecars.size(), "an upstream without a sidecar");
+        assertEquals(UPSTREAMS, sharingSidecars.size(), "an upstream that no sidecar uses");
         sharingSidecars.values().forEach(each -> assertEquals(14, each.size()));
     }
 
-    /** Guards against disagreement while lists differ for seconds. */
+    /** Guards against sidecars that disagree on who shares an upstream while their lists differ for seconds. */
     @Test
     void sharingSidecarsDoNotDependOnTheRestOfTheList() {
-        Map<UpstreamId, Set<Integer>> ofSixty = reportedPeers(harness(3, SIDECARS, UPSTREAMS), 100);
-        Map<UpstreamId, Set<Integer>> ofFifty = reportedPeers(harness(3, SIDECARS, UPSTREAMS - 10), 100);
-        assertTrue(ofFifty.size() > 3);
-        ofFifty.forEach((upstream, reported) -> assertEquals(ofSixty.get(upstream), reported));
+        Map<UpstreamId, Set<Integer>> receiversWithAllListed = reportReceivers(harness(3, SIDECARS, UPSTREAMS), 100);
+        Map<UpstreamId, Set<Integer>> receiversWithTenUnlisted =
+                reportReceivers(harness(3, SIDECARS, UPSTREAMS - 10), 100);
+        assertTrue(receiversWithTenUnlisted.size() > 3);
+        receiversWithTenUnlisted.forEach(
+                (upstream, reported) -> assertEquals(receiversWithAllListed.get(upstream), reported));
     }
 
-    /** Guards against 20 s without a send on sockets, where the cached list comes before the start. */
+    /** Guards against 20 s without an attempt, seen on sockets where the cached list came before the start. */
     @Test
     void endpointListReceivedBeforeTheStartIsUsed() {
         LoadBalancerHarness harness = harness(0, 2, 4);
         harness.loadBalancer.start(harness.now);
-        harness.arrive("a", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         assertEquals(1, harness.sent.size());
     }
 
-    /** Two sidecars that share all upstreams; messages arrive at once. */
-    private static final class Pair {
+    /** Two sidecars that share all upstreams; messages from the second to the first arrive without delay. */
+    private static final class SidecarPair {
         final LoadBalancerHarness first = harness(0, 2, 3);
         final LoadBalancerHarness second = harness(1, 2, 3);
 
@@ -104,10 +108,10 @@
             messages.forEach(each -> first.loadBalancer.peerMessageReceived(first.now, 1, each.text()));
         }
 
-        /** The other sidecar sends so many attempts, which stay in flight. */
-        void fill(int requests) {
+        /** Lets the second sidecar send one attempt for each request; the attempts stay in flight. */
+        void sendFromSecond(int requests) {
             for (int i = 0; i < requests; i++) {
-                second.arrive("fill" + second.sent.size() + "-" + i, LoadBalancerHarness.UNSAFE, 2);
+                second.requestArrives("fill" + second.sent.size() + "-" + i, LoadBalancerHarness.UNSAFE, 2);
             }
             deliverMessages();
         }
@@ -115,26 +119,26 @@
 
     @Test
     void peersAttemptsCountLikeOwnOnes() {
-        Pair pair = new Pair();
-        pair.fill(2);
+        SidecarPair pair = new SidecarPair();
+        pair.sendFromSecond(2);
         Set<UpstreamId> busy = pair.second.sent.stream()
-                .map(LoadBalancerHarness.Sent::upstream)
+                .map(LoadBalancerHarness.SentAttempt::upstream)
                 .collect(Collectors.toSet());
         assertEquals(2, busy.size());
         for (int i = 0; i < 10; i++) {
-            pair.first.arrive("o" + i, LoadBalancerHarness.SAFE, 2);
+            pair.first.requestArrives("o" + i, LoadBalancerHarness.SAFE, 2);
             assertTrue(!busy.contains(pair.first.lastSent().upstream()), "sent where a peer's attempt is in flight");
             pair.first.now += 0.01;
             pair.first.attemptEnds(pair.first.lastSent(), Outcome.SERVED);
         }
     }
 
-    /** Guards against all sidecars filling queues until upstreams are overloaded (calm+mass after its burst). */
+    /** Guards against sidecars that fill queues until upstreams are overloaded (calm+mass after its burst). */
     @Test
     void requestIsRejectedWhereAllReportedQueuesAreTooLong() {
-        Pair pair = new Pair();
+        SidecarPair pair = new SidecarPair();
         for (int round = 0; round < 8; round++) {
-            pair.fill(3);
+            pair.sendFromSecond(3);
             pair.second.now += 0.3;
             pair.first.now = pair.second.now;
             List.copyOf(pair.second.sent).stream()
@@ -142,17 +146,17 @@
                     .forEach(s -> pair.second.attemptEnds(s, Outcome.SERVED));
             pair.deliverMessages();
         }
-        pair.first.arrive("idle", LoadBalancerHarness.SAFE, 2);
+        pair.first.requestArrives("idle", LoadBalancerHarness.SAFE, 2);
         assertEquals(1, pair.first.sent.size(), "not sent although nothing is in flight");
-        pair.fill(9);
-        pair.first.arrive("full", LoadBalancerHarness.SAFE, 2);
+        pair.sendFromSecond(9);
+        pair.first.requestArrives("full", LoadBalancerHarness.SAFE, 2);
         pair.first.advance(0.05);
         assertEquals(1, pair.first.sent.size());
         assertEquals(1, pair.first.rejected.size());
         assertTrue(pair.first.retryAfter > 0);
     }
 
-    /** Guards against a hanging upstream that attracts requests by the fewest in flight. */
+    /** Guards against an unresponsive upstream that attracts requests because it has the fewest in flight. */
     @Test
     void unresponsiveUpstreamIsAvoidedWhileThereAreOthers() {
         for (int seed = 0; seed < 12; seed++) {
@@ -160,7 +164,7 @@
             harness.listReady(3);
             Map<UpstreamId, String> startMessages = new HashMap<>();
             for (int i = 0; i < 20; i++) {
-                harness.arrive("learn" + i, LoadBalancerHarness.SAFE, 2);
+                harness.requestArrives("learn" + i, LoadBalancerHarness.SAFE, 2);
                 startMessages.put(
                         harness.lastSent().upstream(),
                         harness.messages.get(harness.messages.size() - 1).text());
@@ -173,18 +177,18 @@
             startMessages.values().stream()
                     .filter(text -> !text.equals(startMessages.get(unresponsive)))
                     .forEach(text -> harness.loadBalancer.peerMessageReceived(harness.now, 1, text));
-            harness.arrive("now", LoadBalancerHarness.SAFE, 2);
+            harness.requestArrives("now", LoadBalancerHarness.SAFE, 2);
             assertTrue(!harness.lastSent().upstream().equals(unresponsive), "sent to an unresponsive upstream");
         }
     }
 
-    /** Guards against taking the silence of peers for that of upstreams (split+mass). */
+    /** Guards against treating upstreams as unresponsive because peers are silent (split+mass). */
     @Test
     void ownAttemptsAloneCountWhilePeersAreSilent() {
-        Pair pair = new Pair();
-        pair.fill(9);
+        SidecarPair pair = new SidecarPair();
+        pair.sendFromSecond(9);
         pair.first.advance(0.8);
-        pair.first.arrive("a", LoadBalancerHarness.SAFE, 2);
+        pair.first.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         assertEquals(1, pair.first.sent.size());
     }
 
@@ -195,7 +199,7 @@
             harness.loadBalancer.peerMessageReceived(harness.now, 1, text);
         }
         harness.loadBalancer.peerMessageReceived(harness.now, 77, "!!!");
-        harness.arrive("a", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         assertEquals(1, harness.sent.size());
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
@@ -203,42 +207,42 @@
                 List.of(LoadBalancerHarness.endpoint(0, Endpoint.Health.GONE, 0)));
     }
 
-    /** Guards against an end that no peer knows a start of, as after the address was bound late. */
+    /** Guards against reporting an end whose start no peer got, as when the address for messages is bound late. */
     @Test
-    void anAttemptWhoseStartNoPeerCouldHearIsNotReportedAtItsEnd() {
+    void endOfAnAttemptIsNotReportedWhereItsStartCouldNotBeSent() {
         LoadBalancerHarness harness = harness(0, 2, 1);
         harness.messages.clear();
         harness.canSendToPeers = false;
-        harness.arrive("a", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("a", LoadBalancerHarness.SAFE, 2);
         harness.canSendToPeers = true;
         harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
         assertEquals(List.of(), harness.messages);
-        harness.arrive("b", LoadBalancerHarness.SAFE, 2);
+        harness.requestArrives("b", LoadBalancerHarness.SAFE, 2);
         harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
-        assertEquals(2, harness.messages.size(), "start and end");
+        assertEquals(2, harness.messages.size(), "messages of the start and the end");
     }
 
-    /** Guards against one slow answer that takes an upstream out of service while peers wait at the other one. */
+    /** Guards against one slow answer that takes an upstream out of use while peers have attempts at the other one. */
     @Test
-    void afterOneSlowAnswerAnIdleUpstreamIsStillUsedBeforeOneWhereAPeerWaits() {
+    void idleUpstreamWithOneSlowAnswerIsUsedBeforeOneWithAttemptsOfPeers() {
         LoadBalancerHarness harness = harness(0, 2, 2);
         harness.messages.clear();
         UpstreamId usual = serve(harness, "a", TYPICAL_SECONDS);
-        String begun = harness.messages.get(0).text();
+        String startMessage = harness.messages.get(0).text();
         for (int i = 0; i < 3; i++) {
-            harness.loadBalancer.peerMessageReceived(harness.now, 1, begun);
+            harness.loadBalancer.peerMessageReceived(harness.now, 1, startMessage);
         }
         UpstreamId slow = serve(harness, "b", 4 * TYPICAL_SECONDS);
         assertNotEquals(usual, slow);
         for (int i = 0; i < 5; i++) {
-            assertEquals(slow, serve(harness, "c" + i, TYPICAL_SECONDS), "sent where a peer waits");
+            assertEquals(slow, serve(harness, "c" + i, TYPICAL_SECONDS), "sent where attempts of a peer are in flight");
         }
     }
 
-    /** Plays a request whose answer takes that long, and returns the upstream that served it. */
+    /** Delivers a request, serves it after the given time, and returns the upstream that served it. */
     private static UpstreamId serve(LoadBalancerHarness harness, String name, double seconds) {
-        harness.arrive(name, LoadBalancerHarness.SAFE, 2);
-        LoadBalancerHarness.Sent sent = harness.lastSent();
+        harness.requestArrives(name, LoadBalancerHarness.SAFE, 2);
+        LoadBalancerHarness.SentAttempt sent = harness.lastSent();
         harness.now += seconds;
         harness.attemptEnds(sent, Outcome.SERVED);
         return sent.upstream();
--- a/core/src/test/java/portrelay/policy/SlowStartSumTest.java
+++ b/core/src/test/java/portrelay/policy/SlowStartSumTest.java
@@ -9,33 +9,50 @@
 import portrelay.model.SlowStartRule;
 
 /**
- * Slow start summed over all sidecars: within the overload window a warming-up upstream gets at most N + 2 * sqrt(N) +
- * 2, N being what overloads it, from one sidecar or from a thousand; and it gets enough to be of use.
+ * Tests slow start summed over all sidecars, from one to a thousand. Within the overload window a warming-up upstream
+ * gets at most N + 2 * sqrt(N) + 2 attempts, where N is the number that overloads it; and it gets enough of them that
+ * its capacity is used.
  */
 class SlowStartSumTest {
 
     private static final int UPSTREAMS = 30;
-    /** Of the sixty requests a second that each upstream serves. */
+    /** The share that is used of the sixty requests a second that each upstream can serve. */
     private static final double LOAD_SHARE = 0.6;
 
     private static final double REQUESTS_PER_SECOND = LOAD_SHARE * 60 * UPSTREAMS;
     private static final SlowStartRule RULE = LoadBalancerHarness.SLOW_START;
     private static final double RUN_SECONDS = 5;
 
+    /** What happens two seconds after the restart of one upstream, or of more where a scenario says so. */
     private enum Scenario {
+        /** Nothing. */
         CALM,
+        /** The rate rises to 2.5 times its value. */
         BURST,
+        /** A third of all upstreams become unresponsive, all of them warm ones. */
         WARM_LOST,
+        /** All cores of the warm upstreams are busy for half a second. */
         WARM_FULL,
+        /** All sidecars are restarted. */
         RESTARTS,
+        /** Nothing, and six upstreams in ten are warming up. */
         SIX_IN_TEN,
+        /** Nothing, and all upstreams are warming up. */
         NO_WARM,
+        /** Nothing, and one sidecar in ten gets half of all requests. */
         UNEVEN,
+        /** The rate rises from a tenth to 2.5 times its value. */
         SUDDEN
     }
 
-    /** The excess is above the bound where positive; the capacity used is a share of what a warming-up upstream has. */
-    private record Result(String description, double excess, double capacityUsed, double served) {}
+    /**
+     * The result of one run.
+     *
+     * @param excess attempts above the bound; at most 0 where it held
+     * @param capacityUsed the share that is used of the capacity of a warming-up upstream
+     * @param servedShare the share of the requests that were served
+     */
+    private record Result(String description, double excess, double capacityUsed, double servedShare) {}
 
     private static Result run(Scenario scenario, int sidecars, boolean hasMessages, int configuredSidecars) {
         FleetSimulation fleet = new FleetSimulation(7, sidecars, UPSTREAMS, hasMessages, configuredSidecars);
@@ -43,7 +60,7 @@
         if (scenario == Scenario.UNEVEN) {
             fleet.relativeRates = new double[sidecars];
             for (int i = 0; i < sidecars; i++) {
-                // One in ten has half of all requests, the others share the other half.
+                // One sidecar in ten gets half of all requests, the others share the other half.
                 fleet.relativeRates[i] = sidecars == 1 ? 1 : i % 10 == 0 ? 5 : 5.0 / 9;
             }
         }
@@ -76,7 +93,7 @@
                 .max()
                 .orElseThrow();
         double capacityUsed = coldServers.stream()
-                        .mapToDouble(server -> server.sent)
+                        .mapToDouble(server -> server.sentCount)
                         .average()
                         .orElseThrow()
                 / (RUN_SECONDS
@@ -90,19 +107,19 @@
                 configuredSidecars,
                 excess,
                 capacityUsed,
-                fleet.served / (double) fleet.arrivalCount());
-        return new Result(description, excess, capacityUsed, fleet.served / (double) fleet.arrivalCount());
+                fleet.servedCount / (double) fleet.arrivalCount());
+        return new Result(description, excess, capacityUsed, fleet.servedCount / (double) fleet.arrivalCount());
     }
 
     private static void assertWithinBounds(Result result) {
         assertTrue(result.excess <= 0, result.description);
-        // Guards against a use that falls with the number of sidecars.
+        // Guards against a use of the capacity that falls with the number of sidecars.
         assertTrue(result.capacityUsed >= 0.15, result.description);
     }
 
     @ParameterizedTest
     @EnumSource
-    void sumOfAllSidecarsStaysWithinTheBoundAndUsesTheUpstream(Scenario scenario) {
+    void attemptsOfAllSidecarsStayWithinTheBoundAndUseTheWarmingUpUpstream(Scenario scenario) {
         for (int sidecars : new int[] {1, 20, 30, 100, 1000}) {
             assertWithinBounds(run(scenario, sidecars, false, sidecars));
         }
@@ -111,7 +128,7 @@
         }
     }
 
-    /** Guards against a number of sidecars in the settings that is late or wrong. */
+    /** Guards against an overload where the number of sidecars in the settings is outdated or wrong. */
     @ParameterizedTest
     @EnumSource
     void boundHoldsWhereTheConfiguredNumberOfSidecarsIsWrongByAFactorOfTwo(Scenario scenario) {
--- a/core/src/test/java/portrelay/policy/SubsetTest.java
+++ b/core/src/test/java/portrelay/policy/SubsetTest.java
@@ -10,7 +10,10 @@
 import portrelay.model.EndpointUpdate;
 import portrelay.model.UpstreamId;
 
-/** Which upstreams a sidecar uses, and what it tells its peers. Parentheses name simulated runs. */
+/**
+ * Tests which upstreams a sidecar uses, and which messages it sends to its peers. Names in parentheses are the
+ * simulated runs that showed a failure.
+ */
 class SubsetTest {
 
     /** Guards against connections from each sidecar to each upstream (amman-main big-1). */
@@ -19,9 +22,9 @@
         SidecarPool pool = new SidecarPool(5);
         for (int i = 0; i < 10; i++) {
             Set<UpstreamId> used = SidecarPool.usedBy(pool.sidecars.get(i));
-            assertTrue(used.size() <= 3, "one segment of three, not " + used);
-            for (UpstreamId each : used) {
-                assertEquals(i < 5 ? 0 : 1, each.value() / 6, "another zone although its own has capacity");
+            assertTrue(used.size() <= 3, "uses more than one segment of three upstreams: " + used);
+            for (UpstreamId upstream : used) {
+                assertEquals(i < 5 ? 0 : 1, upstream.value() / 6, "uses another zone although its own has capacity");
             }
         }
     }
@@ -30,17 +33,17 @@
     @Test
     void surplusSidecarsOfAZoneUseAnotherZone() {
         SidecarPool pool = new SidecarPool(8);
-        int inOtherZone = 0;
+        int usingOtherZone = 0;
         for (int i = 0; i < 10; i++) {
-            long first =
+            long firstUsedZone =
                     SidecarPool.usedBy(pool.sidecars.get(i)).iterator().next().value() / 6;
-            inOtherZone += i < 8 && first == 1 ? 1 : 0;
-            assertTrue(i < 8 || first == 1);
+            usingOtherZone += i < 8 && firstUsedZone == 1 ? 1 : 0;
+            assertTrue(i < 8 || firstUsedZone == 1);
         }
-        assertEquals(3, inOtherZone);
+        assertEquals(3, usingOtherZone);
     }
 
-    /** Guards against a broadcast of each sidecar at each list change (amman-main i9d3891, 711 sidecars). */
+    /** Guards against a broadcast by each sidecar at each endpoint update (amman-main i9d3891, 711 sidecars). */
     @Test
     void endpointUpdateCausesNoBroadcast() {
         SidecarPool pool = new SidecarPool(5);
@@ -62,7 +65,7 @@
                         .count());
     }
 
-    /** Guards against a broadcast of each restarted sidecar (amman-main, balancer_roll). */
+    /** Guards against a broadcast by each restarted sidecar (amman-main, balancer_roll). */
     @Test
     void restartedSidecarLearnsTheMembersFromOnePeer() {
         SidecarPool pool = new SidecarPool(5);
@@ -78,14 +81,14 @@
         }
         assertTrue(
                 restarted.messages.stream().noneMatch(each -> each.to() == LoadBalancerHarness.ALL_SIDECARS),
-                "broadcast");
+                "the restarted sidecar sent a broadcast");
         int before = restarted.messages.size();
-        restarted.arrive("a", LoadBalancerHarness.UNSAFE, 2);
+        restarted.requestArrives("a", LoadBalancerHarness.UNSAFE, 2);
         assertTrue(restarted.messages.size() > before, "knows no peer of its subset");
     }
 
     @Test
-    void malformedAndForeignMessagesChangeNothing() {
+    void malformedMessagesAndUnknownSendersChangeNothing() {
         SidecarPool pool = new SidecarPool(5);
         LoadBalancerHarness harness = pool.sidecars.get(0);
         long cell = SidecarPool.usedBy(harness).iterator().next().value() / 3;
@@ -95,7 +98,7 @@
                 harness.loadBalancer.peerMessageReceived(harness.now, from, text);
             }
         }
-        assertEquals(sentBefore, harness.messages.size(), "answered a malformed message");
+        assertEquals(sentBefore, harness.messages.size(), "answered a malformed message or an unknown sender");
         harness.advance(2);
         assertTrue(SidecarPool.usedBy(harness).stream().allMatch(each -> each.value() / 3 == cell));
         assertEquals(0, harness.rejected.size());
@@ -105,11 +108,11 @@
     void drainingUpstreamLeavesTheSubsetAtOnce() {
         SidecarPool pool = new SidecarPool(5);
         LoadBalancerHarness harness = pool.sidecars.get(0);
-        UpstreamId one = SidecarPool.usedBy(harness).iterator().next();
+        UpstreamId draining = SidecarPool.usedBy(harness).iterator().next();
         harness.loadBalancer.endpointsUpdated(
                 harness.now,
                 EndpointUpdate.INCREMENTAL,
-                List.of(LoadBalancerHarness.endpoint((int) one.value(), Endpoint.Health.DRAINING, 0)));
-        assertTrue(!SidecarPool.usedBy(harness).contains(one));
+                List.of(LoadBalancerHarness.endpoint((int) draining.value(), Endpoint.Health.DRAINING, 0)));
+        assertTrue(!SidecarPool.usedBy(harness).contains(draining));
     }
 }
--- a/core/src/test/java/portrelay/policy/UpstreamSelectorTest.java
+++ b/core/src/test/java/portrelay/policy/UpstreamSelectorTest.java
@@ -22,7 +22,7 @@
 import portrelay.policy.UpstreamSelector.Rule;
 import portrelay.policy.UpstreamSelector.Selection;
 
-/** The order of the selection rules of a sidecar that knows its own attempts only. */
+/** Tests the order of the selection rules in a sidecar that knows its own attempts only. */
 class UpstreamSelectorTest {
 
     private static final double NOW = 100;
@@ -51,7 +51,7 @@
         endpoints.update(
                 EndpointUpdate.CACHED,
                 IntStream.range(0, UPSTREAMS)
-                        .mapToObj(each -> LoadBalancerHarness.endpoint(each, Endpoint.Health.READY, 0))
+                        .mapToObj(id -> LoadBalancerHarness.endpoint(id, Endpoint.Health.READY, 0))
                         .toList(),
                 NOW);
     }
@@ -68,13 +68,13 @@
     }
 
     @Test
-    void dueTrialOfAnEjectedUpstreamGoesBeforeAllOthers() {
+    void dueTrialOfAnEjectedUpstreamPrecedesAllOtherRules() {
         upstream(1).hedgesLost = UpstreamState.HEDGE_LOSSES_TO_EJECT;
         assertEquals(new Selection(upstream(1), Rule.TRIAL), select(LoadBalancerHarness.SAFE));
     }
 
     @Test
-    void requestThatIsNotSafeTakesNoPartInTrials() {
+    void requestThatIsNotSafeIsNotUsedForATrial() {
         upstream(1).hedgesLost = UpstreamState.HEDGE_LOSSES_TO_EJECT;
         Selection selection = select(LoadBalancerHarness.UNSAFE);
         assertEquals(Rule.LOWEST_COST, selection.rule());
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void idleWarmingUpUpstreamGoesBeforeTheCheapestWhereItHasCredit() {
+    void idleWarmingUpUpstreamWithCreditPrecedesTheCheapest() {
         upstream(2).enabledAt = NOW - 1;
         upstream(2).slowStartCredit = 1;
         assertEquals(new Selection(upstream(2), Rule.WARMING_UP), select(LoadBalancerHarness.SAFE));
@@ -91,27 +91,27 @@
     }
 
     @Test
-    void fewestInFlightIsCheapestWhereNoneIsIdle() {
-        for (int each = 0; each < UPSTREAMS; each++) {
-            upstream(each).inFlight = UPSTREAMS - each;
+    void upstreamWithFewestInFlightIsCheapestWhereNoneIsIdle() {
+        for (int id = 0; id < UPSTREAMS; id++) {
+            upstream(id).inFlight = UPSTREAMS - id;
         }
         assertEquals(new Selection(upstream(UPSTREAMS - 1), Rule.LOWEST_COST), select(LoadBalancerHarness.SAFE));
     }
 
     @Test
     void slowUpstreamsAreUsedWhereAllAreSlow() {
-        for (int each = 0; each < UPSTREAMS; each++) {
+        for (int id = 0; id < UPSTREAMS; id++) {
             for (int sample = 0; sample < 8; sample++) {
-                upstream(each).latencyRatios.add(NOW, 4);
+                upstream(id).latencyRatios.add(NOW, 4);
             }
         }
         assertEquals(Rule.LOWEST_COST_OR_SLOW, select(LoadBalancerHarness.SAFE).rule());
     }
 
-    /** Two upstreams that are not slow have so many in flight, and the third one so many slow answers. */
+    /** Selects while two upstreams are not slow but have attempts in flight, and the third has given slow answers. */
     private Selection selectBesideBusy(int inFlight, int slowAnswers) {
-        for (int each = 0; each < UPSTREAMS - 1; each++) {
-            upstream(each).inFlight = inFlight;
+        for (int id = 0; id < UPSTREAMS - 1; id++) {
+            upstream(id).inFlight = inFlight;
         }
         for (int sample = 0; sample < slowAnswers; sample++) {
             upstream(UPSTREAMS - 1).latencyRatios.add(NOW, 4);
@@ -121,20 +121,23 @@
 
     /** Guards against one slow answer, as each first one is, that sends all requests elsewhere for seconds. */
     @Test
-    void oneSlowAnswerMakesNoUpstreamSlow() {
+    void upstreamIsNotSlowAfterOneSlowAnswer() {
         assertEquals(new Selection(upstream(UPSTREAMS - 1), Rule.LOWEST_COST), selectBesideBusy(1, 1));
     }
 
-    /** Two of 4 times the typical latency make 3 expected, beside (2 + 1) and (3 + 1) where all others are busy. */
+    /**
+     * Two answers at 4 times the typical latency make 3 times expected there, against 2 + 1 and 3 + 1 times where all
+     * others are busy.
+     */
     @Test
-    void anIdleSlowUpstreamIsUsedWhereItIsExpectedToAnswerSooner() {
+    void idleSlowUpstreamIsUsedWhereItIsExpectedToAnswerSooner() {
         assertEquals(Rule.LOWEST_COST, selectBesideBusy(2, 2).rule());
         assertNotEquals(upstream(UPSTREAMS - 1), selectBesideBusy(2, 0).upstream());
         assertEquals(new Selection(upstream(UPSTREAMS - 1), Rule.IDLE_THOUGH_SLOW), selectBesideBusy(3, 0));
     }
 
     @Test
-    void noneIsChosenWhereTheConcurrencyLimitIsReached() {
+    void noUpstreamIsChosenWhereTheConcurrencyLimitIsReached() {
         concurrencyLimit.attemptsStarted(LIMIT);
         Selection selection = select(LoadBalancerHarness.SAFE);
         assertEquals(Rule.NONE, selection.rule());
