--- a/core/src/main/java/portrelay/model/EventLoopLag.java
+++ b/core/src/main/java/portrelay/model/EventLoopLag.java
@@ -52,9 +52,9 @@
     /** Returns the earliest time at which a signal that is handled at the given time may have been sent. */
     public double earliestSignal(double handledAt) {
         double earliest = handledAt;
-        for (Gap each : gaps) {
-            if (each.until > handledAt - SIGNAL_DELIVERY_SECONDS) {
-                earliest = Math.min(earliest, each.from);
+        for (Gap gap : gaps) {
+            if (gap.until > handledAt - SIGNAL_DELIVERY_SECONDS) {
+                earliest = Math.min(earliest, gap.from);
             }
         }
         return Math.max(earliest, handledAt - MAX_SIGNAL_AGE_SECONDS);
--- a/core/src/test/java/portrelay/lease/LeaseExplorerTest.java
+++ b/core/src/test/java/portrelay/lease/LeaseExplorerTest.java
@@ -32,8 +32,8 @@
 
         List<String> trace() {
             List<String> steps = new ArrayList<>();
-            for (Reached each = this; each.previous != null; each = each.previous) {
-                steps.add(0, each.action);
+            for (Reached reached = this; reached.previous != null; reached = reached.previous) {
+                steps.add(0, reached.action);
             }
             return steps;
         }
--- a/core/src/test/java/portrelay/lease/LeaseHistoriesTest.java
+++ b/core/src/test/java/portrelay/lease/LeaseHistoriesTest.java
@@ -169,12 +169,12 @@
          */
         void check(double time) {
             int holders = 0;
-            for (Peer each : peers) {
-                if (!each.replica.holds(time * each.rate)) {
+            for (Peer peer : peers) {
+                if (!peer.replica.holds(time * peer.rate)) {
                     continue;
                 }
                 holders++;
-                long token = each.replica.token();
+                long token = peer.replica.token();
                 violation = token < highestToken ? "token " + token + " after " + highestToken : violation;
                 holdersSeen += token > highestToken ? 1 : 0;
                 highestToken = Math.max(highestToken, token);
--- a/core/src/test/java/portrelay/lease/LeaseWorld.java
+++ b/core/src/test/java/portrelay/lease/LeaseWorld.java
@@ -262,13 +262,14 @@
      */
     private LeaseWorld pruned() {
         Set<Envelope> kept = new HashSet<>();
-        for (Envelope each : sent) {
+        for (Envelope envelope : sent) {
             boolean isReply =
-                    each.message instanceof LeaseMessage.Promise || each.message instanceof LeaseMessage.Accept;
-            boolean isPast =
-                    !each.message.ballot().equals(replica(each.to).proposer().ballot());
-            if (!(each.message instanceof LeaseMessage.Reject) && !(isReply && isPast)) {
-                kept.add(each);
+                    envelope.message instanceof LeaseMessage.Promise || envelope.message instanceof LeaseMessage.Accept;
+            boolean isPast = !envelope.message
+                    .ballot()
+                    .equals(replica(envelope.to).proposer().ballot());
+            if (!(envelope.message instanceof LeaseMessage.Reject) && !(isReply && isPast)) {
+                kept.add(envelope);
             }
         }
         List<Node> reduced = new ArrayList<>(nodes);
