--- a/daemon/src/main/java/portrelay/net/client/ChunkedBodyCollector.java
+++ b/daemon/src/main/java/portrelay/net/client/ChunkedBodyCollector.java
@@ -8,19 +8,23 @@
 
 /**
  * Reads a body of unknown length until it is complete or longer than {@link HttpCall#MAX_BUFFERED_BODY}. Owns its
- * buffer; the channel stays its exchange's.
+ * buffer; the channel remains the property of the exchange.
  */
 final class ChunkedBodyCollector {
 
-    /** Exactly one of these is called, once, on the loop. */
+    /** Receives the result: exactly one of the methods is called, once, on the loop. */
     interface Listener {
 
+        /** Called with the complete body. */
         void completed(byte[] body);
 
-        /** Reads are suspended; the rest of the body is still in the channel. */
+        /**
+         * Called with what has been read once the body is longer than {@link HttpCall#MAX_BUFFERED_BODY}. Reads are
+         * suspended; the rest of the body is still in the channel.
+         */
         void exceedsBuffer(byte[] beginning);
 
-        /** The connection broke, or the chunks are malformed. */
+        /** Called when the connection broke or the chunks are malformed. */
         void failed();
     }
 
@@ -36,7 +40,7 @@
         this.listener = listener;
     }
 
-    /** Reads what is there, and goes on when the channel becomes readable. */
+    /** Reads the available bytes, and continues whenever the channel becomes readable. */
     void collect() {
         try {
             while (body.size() <= HttpCall.MAX_BUFFERED_BODY) {
--- a/daemon/src/main/java/portrelay/net/client/ClientConnection.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnection.java
@@ -6,12 +6,12 @@
 import org.xnio.StreamConnection;
 import portrelay.admission.ConnectionCapacity;
 
-/** One open connection of a client, as {@link ClientConnections} keeps it. Used on the loop only. */
+/** An open client connection, as tracked by {@link ClientConnections}. Used on the loop only. */
 final class ClientConnection {
 
     final StreamConnection socket;
     final RequestFramingFilter filter;
-    /** Null while no request is open. */
+    /** The open request; null while there is none. */
     RequestProgress request;
 
     ClientConnection(StreamConnection socket, RequestFramingFilter filter) {
@@ -19,28 +19,28 @@
         this.filter = filter;
     }
 
-    /** The open request, if there is one, ends for this reason. */
+    /** Records why the open request ends; does nothing while no request is open. */
     void requestEndsBy(RequestProgress.EndCause cause) {
         if (request != null) {
             request.endsBy(cause);
         }
     }
 
-    /** Bytes of the open request, if there is one, have been read. */
+    /** Records that bytes of the open request have been read; does nothing while no request is open. */
     void bytesReceived(double now) {
         if (request != null) {
             request.received(now);
         }
     }
 
-    /** Bytes of its response have been written. */
+    /** Records that bytes of the open request's response have been written; does nothing while no request is open. */
     void bytesSent(double now) {
         if (request != null) {
             request.sent(now);
         }
     }
 
-    /** Whether bytes of the client have come that nobody has read. */
+    /** Whether bytes from the client have arrived that are still unread; false when the connection is broken. */
     boolean hasUnreadBytes() {
         try {
             return socket.isOpen() && filter.peek();
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Whether the client's end has come; in doubt, as when the connection is broken, it has. */
+    /** Whether the client has closed its side; also true when the connection is broken. */
     boolean hasEnded() {
         try {
             return filter.isAtEnd();
@@ -59,10 +59,11 @@
     }
 
     /**
-     * The line that the log has of a close. A request may cross the close from the last look for unread bytes on.
+     * Returns the log line of a close. A request that arrives between the last check for unread bytes and the close is
+     * lost, so the line gives the times of both.
      *
-     * @param lookedAt when that look began, by {@link System#nanoTime}
-     * @param closedAt when the socket had been closed, by the same clock
+     * @param lookedAt when that check began, by {@link System#nanoTime}
+     * @param closedAt when the close had returned, by the same clock
      */
     static String closedLine(SocketAddress client, ConnectionCapacity.Eviction eviction, long lookedAt, long closedAt) {
         int port = client instanceof InetSocketAddress internet ? internet.getPort() : 0;
--- a/daemon/src/main/java/portrelay/net/client/ClientConnections.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnections.java
@@ -16,13 +16,13 @@
 import portrelay.net.eventloop.Log;
 
 /**
- * Owns the clients' sockets: tells {@link ConnectionCapacity} what phase each is in and closes those that it evicts.
- * Each connection is entered at {@code opened} and given back at {@code forget}, once. A connection that is not known,
- * as one that closed meanwhile, is passed over by every method here.
+ * Owns the clients' sockets: reports the phase of each connection to {@link ConnectionCapacity} and closes those that
+ * it evicts. Each connection is registered once, in {@code opened}, and removed once, in {@code forget}. Every method
+ * ignores a connection that is not registered, such as one that has closed meanwhile.
  */
 public final class ClientConnections {
 
-    /** How often connections are checked for timeouts, each of which may be noticed so much late. */
+    /** Interval between checks for timeouts; a timeout may be noticed late by as much. */
     private static final double SWEEP_INTERVAL_SECONDS = 0.05;
 
     private final EventLoop loop;
@@ -35,9 +35,10 @@
     private long nextId;
     private int maxConnections = Integer.MAX_VALUE;
     private boolean isSweepScheduled;
-    /** Whether idle connections stay open although fewer were lately used at once. */
+    /** Whether idle connections stay open although fewer were recently in use at the same time. */
     private boolean isKeepingSurplus;
 
+    /** @param counters receives the accepted and evicted connections */
     public ClientConnections(EventLoop loop, Log log, ConnectionCapacityConfig config, ConnectionCounters counters) {
         this.loop = loop;
         this.log = log;
@@ -46,13 +47,13 @@
         this.counters = counters;
     }
 
-    /** From here on at most so many may be open; those past the limit are evicted at once. */
+    /** Sets the maximum number of open connections; those over the limit are evicted at once. */
     public void setMaxConnections(int connections) {
         maxConnections = connections;
         evictOverLimit();
     }
 
-    /** Takes over a socket that was accepted; its reads go through the filter. */
+    /** Takes ownership of an accepted socket, whose reads go through the filter. */
     public void opened(StreamConnection socket, RequestFramingFilter filter) {
         ClientId id = new ClientId(nextId++);
         ids.put(socket, id);
@@ -63,7 +64,7 @@
         scheduleSweep();
     }
 
-    /** Bytes have come. */
+    /** Records that bytes have been read from the connection. */
     public void bytesReceived(StreamConnection socket) {
         ClientId id = ids.get(socket);
         if (id != null) {
@@ -72,13 +73,16 @@
         }
     }
 
-    /** From here on Undertow owns the channel's callbacks, and tells when it closes. Called once. */
+    /**
+     * Registers for the close of the connection with Undertow, which owns the channel's callbacks from the first head
+     * on. Called once for each connection.
+     */
     public void trackClose(HttpServerConnection connection) {
         StreamConnection socket = connection.getChannel();
         connection.addCloseListener(closed -> forget(socket));
     }
 
-    /** The connection is in this phase from now on. */
+    /** Records that the connection has entered the phase. */
     public void phaseChanged(HttpServerConnection connection, ConnectionCapacity.Phase phase) {
         ClientId id = ids.get(connection.getChannel());
         if (id != null) {
@@ -88,9 +92,10 @@
     }
 
     /**
-     * A request is open from here until {@link #responseCompleted}.
+     * Records that a request is open on the connection, until {@link #responseCompleted}.
      *
-     * @param bytesOut how many bytes of its response's body have been written
+     * @param requestId the id that the client gave
+     * @param bytesOut returns the number of bytes of the response's body that have been written
      */
     void requestBegan(HttpServerConnection connection, String requestId, LongSupplier bytesOut) {
         ClientConnection known = find(connection);
@@ -99,48 +104,49 @@
         }
     }
 
-    /** Bytes of the response have been written. */
+    /** Records that bytes of the response have been written. */
     void responseBytesSent(HttpServerConnection connection) {
         ifKnown(connection, known -> known.bytesSent(loop.now()));
     }
 
-    /** The response to the open request is written, to its last byte. */
+    /** Records that the response to the open request has been written completely. */
     void responseCompleted(HttpServerConnection connection) {
         ifKnown(connection, known -> known.request = null);
     }
 
-    /** Closes the connection, also where a request is open on it. */
+    /** Closes the connection, even while a request is open on it. */
     void close(HttpServerConnection connection, RequestProgress.EndCause cause) {
         ifKnown(connection, known -> known.requestEndsBy(cause));
         IoUtils.safeClose(connection);
     }
 
-    /** Whether no request is open on it and nothing of the next one has been read. */
+    /** Whether no request is open on the connection and nothing of the next one has been read. */
     boolean awaitsRequest(StreamConnection socket) {
         ConnectionCapacity.Phase phase = capacity.phase(ids.get(socket));
         return phase == ConnectionCapacity.Phase.SILENT || phase == ConnectionCapacity.Phase.IDLE;
     }
 
-    /** Closes a connection whose last response is written. */
+    /** Closes a connection whose last response has been written. */
     void closeAnswered(StreamConnection socket) {
         IoUtils.safeClose(socket);
         forget(socket);
     }
 
-    /** Whether the last head that was read can be read in more than one way. */
+    /** Whether the last head that was read can be interpreted in more than one way. */
     boolean hasAmbiguousHead(HttpServerConnection connection) {
         ClientConnection known = find(connection);
         return known != null && known.filter.isHeadAmbiguous();
     }
 
-    /** The next request on it is handled from here on. */
+    /** Records that the next request on the connection is being handled. */
     void nextRequestStarted(HttpServerConnection connection) {
         ifKnown(connection, known -> known.filter.nextRequestStarted());
     }
 
     /**
-     * The earliest moment at which the request that is handled may have come: when its last byte was read, which for
-     * one that was sent behind another is before that one's response, less what the loop was late by then.
+     * Returns the earliest time at which the request being handled may have arrived: the time at which its last byte
+     * was read, less the lag of the event loop at that time. The last byte of a pipelined request is read before the
+     * response to the request before it is written.
      */
     double earliestArrival(HttpServerConnection connection) {
         ClientConnection known = find(connection);
@@ -148,28 +154,32 @@
         return Double.isNaN(completedAt) ? loop.earliestArrival() : completedAt;
     }
 
-    /** Whether the client's end has come; in doubt, as when the connection is broken or closed, it has. */
+    /** Whether the client has closed its side; also true when the connection is broken or already closed. */
     boolean hasEnded(HttpServerConnection connection) {
         ClientConnection known = find(connection);
         return known == null || known.hasEnded();
     }
 
-    /** What comes from here on is no request: it is read up to its end and thrown away. */
+    /** Stops parsing requests: bytes that follow are read up to the end of the stream and discarded. */
     void stopParsing(HttpServerConnection connection) {
         ifKnown(connection, known -> known.filter.stopParsing());
     }
 
-    /** Whether more requests wait for responses than there may be connections. */
+    /** Whether more requests wait for responses than connections are allowed. */
     boolean isFullOfRequests() {
         return capacity.count(ConnectionCapacity.Phase.ASKED) > maxConnections;
     }
 
+    /** Returns the number of open connections. */
     int count() {
         forgetClosed();
         return capacity.count();
     }
 
-    /** Closes connections that have been idle, or silent since they were accepted, for so long; at most so many. */
+    /**
+     * Closes connections that have been idle, or silent since they were accepted, for at least {@code minIdleSeconds};
+     * at most {@code maxClosed} of them.
+     */
     void closeIdle(ConnectionCapacity.Cause cause, double minIdleSeconds, int maxClosed) {
         capacity.silentFor(loop.now(), minIdleSeconds).stream()
                 .limit(maxClosed)
@@ -189,12 +199,12 @@
         return id == null ? null : connections.get(id);
     }
 
-    /** From here on no idle connection is closed for being surplus: its client may be unable to open another. */
+    /** Stops closing idle connections as surplus, as their clients may be unable to open new ones. */
     void keepSurplus() {
         isKeepingSurplus = true;
     }
 
-    /** Without any limit reached: more are idle than were lately used at once. */
+    /** Evicts idle connections in excess of those recently in use at the same time, also below every limit. */
     private void evictNotNeeded() {
         if (isKeepingSurplus) {
             return;
@@ -202,7 +212,7 @@
         evictAll(capacity::surplus);
     }
 
-    /** Evicts what the rule names at the time, until it names none. */
+    /** Evicts the connections that the rule returns for the current time, until it returns null. */
     private void evictAll(DoubleFunction<ConnectionCapacity.Eviction> rule) {
         for (ConnectionCapacity.Eviction e = rule.apply(loop.now()); e != null; e = rule.apply(loop.now())) {
             evict(e);
@@ -214,7 +224,7 @@
             return;
         }
         forgetClosed();
-        // Each is tried once: those with unread bytes stay, even where that leaves too many for a moment.
+        // Each is tried once: those with unread bytes stay open, even if that exceeds the limit for a moment.
         for (int tries = capacity.count(); tries > 0 && capacity.count() > maxConnections; tries--) {
             ConnectionCapacity.Eviction eviction = capacity.underPressure(loop.now(), maxConnections);
             if (eviction == null) {
@@ -224,7 +234,7 @@
         }
     }
 
-    /** Closes it, unless bytes lie unread in it: a request that has come would be lost with it. */
+    /** Closes the connection unless it has unread bytes, as a request among them would be lost. */
     private void evict(ConnectionCapacity.Eviction eviction) {
         ClientConnection connection = connections.get(eviction.id());
         StreamConnection socket = connection.socket;
@@ -233,7 +243,7 @@
         long lookedAt = System.nanoTime();
         if (!isUnreadingClient && connection.hasUnreadBytes()) {
             if (eviction.cause() != ConnectionCapacity.Cause.SHUTDOWN) {
-                // In a shutdown the request counts as begun once it is read: it may go to another reader.
+                // In a shutdown the request begins only when it is read, as LateRequestConnection may take it over.
                 capacity.phaseChanged(loop.now(), eviction.id(), ConnectionCapacity.Phase.SENDING);
             }
             socket.getSourceChannel().wakeupReads();
@@ -242,13 +252,13 @@
         boolean wasOpen = socket.isOpen();
         SocketAddress client = socket.getPeerAddress();
         connection.requestEndsBy(RequestProgress.EndCause.EVICTED);
-        // Next to the look: what comes between the two crosses the close.
+        // Directly after the check: a request that arrives between the two is lost with the connection.
         IoUtils.safeClose(socket);
         long closedAt = System.nanoTime();
         if (wasOpen) {
             log.debug(() -> ClientConnection.closedLine(client, eviction, lookedAt, closedAt));
         }
-        // An idle connection that times out is no sign of trouble, so it is not counted.
+        // The timeout of an idle connection does not indicate a problem, so it is not counted.
         if (wasOpen && !(isOverdue && eviction.phase() == ConnectionCapacity.Phase.IDLE)) {
             counters.countEvicted(eviction);
         }
@@ -267,7 +277,10 @@
         }
     }
 
-    /** Finds the connections that closed unnoticed: Undertow's close listener is set with a connection's first head. */
+    /**
+     * Removes the connections that closed unnoticed: Undertow's close listener is registered only with the first head
+     * of a connection.
+     */
     private void forgetClosed() {
         for (ClientId id : capacity.in(
                 ConnectionCapacity.Phase.SILENT, ConnectionCapacity.Phase.SENDING, ConnectionCapacity.Phase.IDLE)) {
@@ -278,7 +291,7 @@
         }
     }
 
-    /** One timer for all connections, and none while there are none. */
+    /** Schedules the next sweep: one timer for all connections, and none while there is no connection. */
     private void scheduleSweep() {
         if (!isSweepScheduled && !ids.isEmpty()) {
             isSweepScheduled = true;
--- a/daemon/src/main/java/portrelay/net/client/ClientFrontend.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientFrontend.java
@@ -19,12 +19,12 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Accepts clients' connections and puts the handlers of this package behind them. Owner of the listener; the sockets
- * belong to {@link ClientConnections}. All methods but the constructor run on the loop.
+ * Accepts clients' connections and connects them to the handlers of this package. Owns the listener; the sockets belong
+ * to {@link ClientConnections}. All methods except the constructor run on the loop.
  */
 public final class ClientFrontend {
 
-    /** Most connections that one turn of the loop closes, so that other tasks have their turn between. */
+    /** Maximum number of connections closed in one turn of the loop, so that other tasks run in between. */
     private static final int MAX_CLOSED_PER_TURN = 64;
 
     private final EventLoop loop;
@@ -38,8 +38,8 @@
 
     /**
      * @param buffers pool that Undertow and the transfer of long bodies take their buffers from
-     * @param counters where ended connections are counted
-     * @param retryAfterSeconds what a request that is rejected because of the shutdown is told, 0 for no advice
+     * @param counters receives the accepted and evicted connections
+     * @param retryAfterSeconds the Retry-After sent with a request rejected because of the shutdown, 0 for none
      */
     public ClientFrontend(
             EventLoop loop,
@@ -70,10 +70,11 @@
     }
 
     /**
-     * Undertow's own timeouts for heads and for the next request stay unset: where the loop was late they would end
-     * connections in which a request lies unread. {@link ClientConnections} has both, and checks for unread bytes
-     * first. Undertow's default limit of 2 MiB for a body would cut longer ones off without a response. The limit here
-     * is twice that of {@link RequestReader}, which is therefore reached first and answered.
+     * Returns the options of Undertow's listener. Undertow's own timeouts for heads and for the next request stay
+     * unset: after event loop lag they would close connections that hold an unread request. {@link ClientConnections}
+     * implements both timeouts and checks for unread bytes first. Undertow's default limit of 2 MiB for a body would
+     * cut off longer ones without a response. The limit here is twice that of {@link RequestReader}, which is therefore
+     * reached first and answered with a response.
      */
     private static OptionMap undertowOptions() {
         return OptionMap.builder()
@@ -86,34 +87,35 @@
     }
 
     /**
-     * Accepts connections at this address. Past {@code maxClients} another connection is evicted for each that comes,
-     * as nobody would notice one that is left waiting in the listen queue.
+     * Starts accepting connections at this address. Above {@code maxClients} an open connection is evicted for each new
+     * one, as one that is left waiting in the listen queue would go unnoticed.
      *
-     * @throws IOException where the address can't be bound
+     * @throws IOException if the address can't be bound
      */
     public void listen(XnioWorker worker, InetSocketAddress at, int maxClients) throws IOException {
         connections.setMaxConnections(maxClients);
         listener.listen(worker, at, maxClients);
     }
 
-    /** Part of the warm-up: the listener is closed once, when connections depend on how long that takes. */
+    /**
+     * Warms up the close of the listener, which happens only once, at a time when connections depend on how long it
+     * takes.
+     */
     public void warmUpStopListening(XnioWorker worker) {
         listener.warmUpClose(worker);
     }
 
-    /** Whether it has ever listened. */
+    /** Whether {@link #listen} has succeeded; also after {@link #stopListening}. */
     public boolean isListening() {
         return listener.hasListened();
     }
 
-    /** The bound address; only once it listens. */
+    /** Returns the bound address; may be called only after {@link #listen}. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /**
-     * Takes over an open connection, be it from the listener or from within the process; closing it is left to this.
-     */
+    /** Takes ownership of an open connection, accepted by the listener or made within the process, and closes it. */
     public void accept(StreamConnection client) {
         RequestFramingFilter filter = new RequestFramingFilter(
                 client.getSourceChannel().getConduit(), () -> connections.bytesReceived(client), loop::earliestArrival);
@@ -124,32 +126,38 @@
         }
     }
 
-    /** What the readiness path says from here on, as long as the sidecar is in service. */
+    /** Sets what the readiness path reports while the sidecar is in service. */
     public void setReady(boolean ready) {
         service.setReady(ready);
     }
 
-    /** Takes clients out of service or puts them back, as operators ask for; no request is cut off. */
+    /** Takes the sidecar out of service or puts it back, as requested by an operator; no request is cut off. */
     public void setInService(boolean inService) {
         service.setInService(inService);
     }
 
-    /** No new connections from here on; those that wait in the kernel's queue are taken. */
+    /** Stops accepting new connections; those that wait in the kernel's queue are still accepted. */
     public void stopListening() {
         listener.close();
     }
 
-    /** The shutdown has begun: open connections stay open, as their clients will soon not be able to open others. */
+    /**
+     * Stops closing surplus connections once the shutdown has begun, as their clients will soon be unable to open new
+     * ones.
+     */
     public void keepConnections() {
         connections.keepSurplus();
     }
 
-    /** Rejects the requests that are queued, and those that are read from here on. */
+    /** Rejects the queued requests and all that are read from now on. */
     public void rejectNewRequests() {
         admission.close();
     }
 
-    /** In a shutdown: closes connections on which nothing was received for so long; a limited number in one call. */
+    /**
+     * Closes connections on which nothing was received for {@code minIdleSeconds}, in a shutdown; a limited number in
+     * one call.
+     */
     public void closeIdle(double minIdleSeconds) {
         connections.closeIdle(ConnectionCapacity.Cause.SHUTDOWN, minIdleSeconds, MAX_CLOSED_PER_TURN);
     }
@@ -161,17 +169,17 @@
         connections.closeIdle(ConnectionCapacity.Cause.SHUTDOWN, 0, Integer.MAX_VALUE);
     }
 
-    /** How many requests were rejected because the process shuts down. */
+    /** Returns the number of requests rejected because of the shutdown. */
     public int rejectedDuringShutdown() {
         return dispatcher.rejectedDuringShutdown() + lateRequests.rejectedCount();
     }
 
-    /** Clients may hold so many connections from here on; those past the limit are evicted at once. */
+    /** Sets the maximum number of client connections; those over the limit are evicted at once. */
     public void setMaxClients(int maxConnections) {
         connections.setMaxConnections(maxConnections);
     }
 
-    /** How many clients are connected, those included whose connections still wait to be handled. */
+    /** Returns the number of connected clients, including those whose connections still wait to be handled. */
     public int clientCount() {
         return connections.count() + listener.pendingCount();
     }
--- a/daemon/src/main/java/portrelay/net/client/ClientListener.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientListener.java
@@ -16,35 +16,38 @@
 import portrelay.net.eventloop.Log;
 
 /**
- * Owner of the listening socket. Hands on each connection as it is accepted and, once the socket is closed, those that
- * the kernel still had in its queue; whoever gets a connection owns it.
+ * Owns the listening socket. Delivers each connection as it is accepted and, once the socket is closed, those that were
+ * still in the kernel's queue; the receiver owns the connection.
  */
 final class ClientListener {
 
-    /** How many are accepted past the limit: for each, one of those that are open is evicted. */
+    /** Number of connections accepted above the limit; for each, one of the open connections is evicted. */
     private static final int CONNECTIONS_OVER_LIMIT = 8;
-    /** Handed on in one turn of the loop, so that timers and other connections have their turn between. */
+    /** Maximum number delivered in one turn of the loop, so that timers and other connections run in between. */
     private static final int MAX_PER_TURN = 64;
-    /** Handed on in a turn however long that takes. */
+    /** Number delivered in a turn regardless of how long that takes. */
     private static final int MIN_PER_TURN = 8;
-    /** Past the minimum a turn ends after so long: cold code, or little of a core, makes each connection dear. */
+    /** Above the minimum, a turn ends after this time: with cold code or little CPU each connection takes long. */
     private static final double MAX_TURN_SECONDS = 0.01;
 
     /** Length of the kernel's listen queue, in connections. */
     private static final int BACKLOG = 1024;
-    /** After so many failed accepts the rest of the listen queue is given up. */
+    /** Number of failed accepts after which the rest of the listen queue is abandoned. */
     private static final int MAX_ACCEPT_FAILURES = 64;
 
     private final Log log;
     private final Consumer<StreamConnection> accepted;
     private final Runnable freeDescriptors;
     private final EventLoop loop;
-    /** Accepted as the socket was closed, and not handed on yet. */
+    /** Connections accepted when the socket was closed and not delivered yet. */
     private final Queue<StreamConnection> pending = new ArrayDeque<>();
-    /** Null before it listens. */
+    /** Null before {@link #listen}. */
     private SharedListener listener;
 
-    /** {@code freeDescriptors} is called where an accept fails, as for want of descriptors. */
+    /**
+     * @param accepted receives each accepted connection
+     * @param freeDescriptors called when an accept fails, for example for lack of file descriptors
+     */
     ClientListener(EventLoop loop, Log log, Consumer<StreamConnection> accepted, Runnable freeDescriptors) {
         this.loop = loop;
         this.log = log;
@@ -53,10 +56,10 @@
     }
 
     /**
-     * Accepts connections at this address from here on.
+     * Starts accepting connections at this address.
      *
-     * @param maxClients how many connections may be open; a few more are accepted, see {@link #CONNECTIONS_OVER_LIMIT}
-     * @throws IOException where the address can't be bound
+     * @param maxClients maximum number of open connections; {@link #CONNECTIONS_OVER_LIMIT} more are accepted
+     * @throws IOException if the address can't be bound
      */
     void listen(XnioWorker worker, InetSocketAddress at, int maxClients) throws IOException {
         listener = SharedListener.listen(
@@ -72,12 +75,12 @@
         listener.socket().resumeAccepts();
     }
 
-    /** Runs the code that closes a listener once, on another one: the first time takes milliseconds. */
+    /** Runs the code that closes a listener once, on a separate one, as its first run takes milliseconds. */
     void warmUpClose(XnioWorker worker) {
         try {
             SharedListener.warmUp(worker);
         } catch (IOException e) {
-            log.warn("closing a listener is not warmed up: cause=" + e.getMessage());
+            log.warn("close of the listener could not be warmed up: cause=" + e.getMessage());
         }
     }
 
@@ -104,9 +107,9 @@
     }
 
     /**
-     * No new connections from here on. Those that the kernel has queued are accepted first: closed with the socket they
-     * would be reset, although the kernel may have acknowledged their requests. What comes between the last accept and
-     * the close is reset, so nothing else is done between the two.
+     * Stops accepting new connections. Those in the kernel's queue are accepted first: closing the socket would reset
+     * them, although the kernel may have acknowledged their requests. A connection that arrives between the last accept
+     * and the close is reset, so nothing else is done between the two.
      */
     void close() {
         if (listener == null || !listener.socket().isOpen()) {
@@ -115,7 +118,7 @@
         try {
             listener.socket().setOption(Options.CONNECTION_HIGH_WATER, Integer.MAX_VALUE);
         } catch (IOException | IllegalArgumentException e) {
-            log.warn("listener keeps its connection limit: cause=" + e.getMessage());
+            log.warn("connection limit of the listener could not be lifted for its close: cause=" + e.getMessage());
         }
         listener.stopPolling();
         acceptQueued();
@@ -123,19 +126,19 @@
         handOnPending();
     }
 
-    /** As {@link #close}; closes the connections that it has not handed on. */
+    /** As {@link #close}, but also closes the connections that have not been delivered. */
     void closeNow() {
         close();
         pending.forEach(IoUtils::safeClose);
         pending.clear();
     }
 
-    /** How many connections it has accepted and not handed on. */
+    /** Returns the number of connections accepted but not delivered. */
     int pendingCount() {
         return pending.size();
     }
 
-    /** In turns: handling all of a long queue at once would hold up every timer of the shutdown. */
+    /** Delivers in several turns: handling a long queue at once would delay every timer of the shutdown. */
     private void handOnPending() {
         double startedAt = loop.now();
         for (int count = 0; !isTurnOver(count, startedAt) && !pending.isEmpty(); count++) {
@@ -151,7 +154,8 @@
     }
 
     /**
-     * Goes on after a failure: a connection that broke in the queue, or a lack of descriptors, must not cost the rest.
+     * Accepts the connections in the kernel's queue. Continues after a failure: a connection that broke in the queue,
+     * or a lack of file descriptors, must not cost the other connections.
      */
     private void acceptQueued() {
         int failures = 0;
--- a/daemon/src/main/java/portrelay/net/client/ClientResponder.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientResponder.java
@@ -17,8 +17,8 @@
 import portrelay.net.upstream.IncomingRequest;
 
 /**
- * The client's side of one exchange: writes the one response, and notices when its client no longer waits for it. Over
- * as soon as the response begins or the client has left; what is called after that does nothing.
+ * The client's side of one exchange: writes the single response, and detects when the client no longer waits for it. It
+ * is over as soon as the response begins or the client has left; calls after that have no effect.
  */
 final class ClientResponder implements IncomingRequest.Responder, RequestBody.Listener {
 
@@ -31,7 +31,7 @@
     private final HttpServerConnection connection;
     private final String clientsId;
     private final RequestId id;
-    /** Null where the body was read before the request was dispatched. */
+    /** The streamed body; null if the body was read before the request was dispatched. */
     private final RequestBody requestBody;
 
     private final ClientWatch watch;
@@ -39,8 +39,8 @@
 
     /**
      * @param clientsId the id that the client gave
-     * @param id the unique one that the decisions know the request by
-     * @param requestBody a long body that is still coming, or null
+     * @param id the unique id by which the decisions identify the request
+     * @param requestBody a long body that is still being received, or null
      */
     ClientResponder(
             EventLoop loop,
@@ -65,17 +65,18 @@
         this.watch = new ClientWatch(connections, connection, this::clientLeft);
     }
 
+    /** Returns the id that the client gave. */
     String clientsId() {
         return clientsId;
     }
 
-    /** Null where the connection is no socket, as in the warm-up. */
+    /** Returns the client's address, or null if the connection is not a socket, as in the warm-up. */
     InetAddress clientAddress() {
         InetSocketAddress peer = connection.getPeerAddress(InetSocketAddress.class);
         return peer == null ? null : peer.getAddress();
     }
 
-    /** From here on the client's end is noticed; while a long body comes, by its {@link RequestBody}. */
+    /** Starts to detect the close by the client; while a long body is received, {@link RequestBody} detects it. */
     void start() {
         if (requestBody == null) {
             watch.start();
@@ -94,9 +95,14 @@
         return isOver;
     }
 
-    // ---- A long request body ----------------------------------------------------------------------------
+    // ---- Streamed request body --------------------------------------------------------------------------
 
-    /** Without a client the body must stay incomplete: its last byte would make the upstream execute the request. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>Once the client has left, the body must stay incomplete: its last byte would make the upstream execute the
+     * request.
+     */
     @Override
     public boolean isClientWaiting() {
         return !isOver();
@@ -123,7 +129,7 @@
         }
     }
 
-    // ---- The response -----------------------------------------------------------------------------------
+    // ---- Response ---------------------------------------------------------------------------------------
 
     @Override
     public void served(HttpResult result) {
@@ -156,7 +162,7 @@
         }
     }
 
-    /** Rounded up to milliseconds: a client that keeps to it is never early. */
+    /** Formats a Retry-After in seconds, rounded up to milliseconds so that a client that honours it is never early. */
     static String retryAfterText(double seconds) {
         return Double.toString(Math.ceil(seconds * 1e3) / 1e3);
     }
@@ -168,13 +174,13 @@
         }
     }
 
-    /** Sets the status and says whether there is anybody to write a response to. */
+    /** Sets the status and returns whether there is still a client to write the response to. */
     private boolean beginResponse(int status) {
         if (isOver) {
             return false;
         }
         if (responses.closesConnections() && watch.isStarted()) {
-            // Before it is decided whether the connection ends: a request that was sent ahead must not be cut off.
+            // Read before deciding whether the connection ends: a pipelined request must not be cut off.
             watch.read();
             if (isOver) {
                 return false;
--- a/daemon/src/main/java/portrelay/net/client/ClientWatch.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientWatch.java
@@ -11,13 +11,13 @@
 import portrelay.net.http.Framing;
 
 /**
- * Reads a client's connection while its request waits for a response, which Undertow does not, so that the client's end
- * is noticed. What comes before that end is the next request, sent ahead: it is kept here until
- * {@link #returnReadAhead} gives it to Undertow, or discarded.
+ * Reads a client's connection while its request waits for a response, which Undertow does not do, so that a close by
+ * the client is detected. Bytes that arrive before the close are the next request, pipelined by the client: they are
+ * kept here until {@link #returnReadAhead} passes them to Undertow, or discarded.
  */
 final class ClientWatch {
 
-    /** What is kept of what a client sends ahead: the longest head, and the longest body that is buffered. */
+    /** Limit of the bytes kept from a client that pipelines: the longest head and the longest body that is buffered. */
     private static final int MAX_READ_AHEAD_BYTES = Framing.MAX_HEAD_BYTES + HttpCall.MAX_BUFFERED_BODY;
 
     private final ClientConnections connections;
@@ -27,17 +27,20 @@
 
     private boolean isStarted;
     private boolean isStopped;
-    /** What comes is no use any more: it is read for the client's end alone. */
+    /** Whether bytes that arrive are discarded, and read only to detect the close by the client. */
     private boolean isDiscarding;
 
-    /** @param clientLeft called at most once, and never after {@link #stop} */
+    /**
+     * @param clientLeft called at most once, when the client closes its side or the connection breaks, and never after
+     *     {@link #stop}
+     */
     ClientWatch(ClientConnections connections, HttpServerConnection connection, Runnable clientLeft) {
         this.connections = connections;
         this.connection = connection;
         this.clientLeft = clientLeft;
     }
 
-    /** Takes the source over from Undertow; the request must have been read to its end. */
+    /** Takes the source over from Undertow; the request must have been read completely. */
     void start() {
         isStarted = true;
         ConduitStreamSourceChannel source = source();
@@ -50,22 +53,22 @@
         return isStarted;
     }
 
-    /** Whether bytes behind the request are thrown away: then the connection must end with the response. */
+    /** Whether bytes after the request are discarded, so that the connection must end with the response. */
     boolean isDiscarding() {
         return isDiscarding;
     }
 
-    /** Nothing is read from here on. */
+    /** Stops reading. */
     void stop() {
         isStopped = true;
     }
 
-    /** Reads what is there now. */
+    /** Reads the bytes that are available now. */
     void read() {
         read(source());
     }
 
-    /** As {@link #read}, but does not stop where no more may be kept: the client's end may lie behind it. */
+    /** As {@link #read}, but continues where no more may be kept, as the end of the stream may follow. */
     void readToEnd() {
         if (readAhead.size() >= MAX_READ_AHEAD_BYTES) {
             discard();
@@ -95,7 +98,7 @@
                 }
             }
         } catch (RequestFramingFilter.MalformedFramingException e) {
-            // Not a request, but its sender is still there until its end comes behind it.
+            // Not a request, but its sender is still connected until the end of the stream follows.
             discard();
             read(source);
         } catch (IOException e) {
@@ -119,7 +122,7 @@
         connections.stopParsing(connection);
     }
 
-    /** Hands what was read ahead to Undertow, which parses it before it reads on from the socket. */
+    /** Passes the bytes read ahead to Undertow, which parses them before it reads further from the socket. */
     void returnReadAhead() {
         if (readAhead.size() == 0) {
             return;
--- a/daemon/src/main/java/portrelay/net/client/ConnectionCounters.java
+++ b/daemon/src/main/java/portrelay/net/client/ConnectionCounters.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import portrelay.admission.ConnectionCapacity;
 
-/** Counts what became of clients' connections since the last {@link #summaryLine}. */
+/** Counts the client connections accepted, evicted and closed since the last {@link #summaryLine}. */
 public final class ConnectionCounters {
 
     private int accepted;
@@ -17,7 +17,7 @@
         accepted++;
     }
 
-    /** A request was rejected because more requests wait for responses than there may be connections. */
+    /** Counts a request rejected because more requests wait for responses than connections are allowed. */
     void countRejectedForCapacity() {
         rejectedForCapacity++;
     }
@@ -30,7 +30,7 @@
         }
     }
 
-    /** A line for the log, null where nothing but accepts happened; the counts start again from 0. */
+    /** Returns a log line, or null if connections were only accepted, and resets the counts to 0. */
     public String summaryLine() {
         String line = null;
         if (rejectedForCapacity > 0 || notNeeded > 0 || !evicted.isEmpty() || !timedOut.isEmpty()) {
--- a/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
@@ -9,16 +9,16 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * A client's connection whose requests come too late to be forwarded. Once taken over it answers each complete request
- * and ends the connection, unless a further request has begun behind it; a request whose body is still coming is
- * answered at its head, and the rest of the body is thrown away.
+ * A client connection whose requests arrive too late to be forwarded. After the takeover each complete request is
+ * answered and the connection closed, unless the head of a further request has begun to arrive. A request whose body is
+ * still being received is answered after its head, and the rest of the body is discarded.
  */
 final class LateRequestConnection {
 
-    /** Reads in one turn of the loop, so that others have their turn between. */
+    /** Maximum number of reads in one turn of the loop, so that other tasks run in between. */
     private static final int MAX_READS_PER_TURN = 64;
 
-    /** For how long the rest of a body is thrown away, or what follows a malformed request. */
+    /** Longest time for which the rest of a body, or the bytes after a malformed request, are discarded. */
     private static final double MAX_DISCARD_SECONDS = LingeringClose.BRIEF.maxTotal();
 
     private final EventLoop loop;
@@ -26,14 +26,14 @@
     private final ClientConnections connections;
     private final StreamConnection socket;
     private final RequestFramingFilter filter;
-    /** The lowest one, under those of Undertow. */
+    /** The lowest sink conduit, below those of Undertow. */
     private final StreamSinkConduit sink;
 
-    /** Of the messages on this connection, those that are answered. */
+    /** Number of the requests on this connection that have been answered. */
     private int answeredMessages;
-    /** Null where all is written. */
+    /** The rest of a response; null if everything has been written. */
     private ByteBuffer unsent;
-    /** The last answer is given: what comes is thrown away. */
+    /** Whether the last response has been given, so that bytes that follow are discarded. */
     private boolean isDiscarding;
 
     LateRequestConnection(
@@ -55,7 +55,7 @@
         return connections.awaitsRequest(socket);
     }
 
-    /** From here on nobody else reads from or writes to the connection. */
+    /** Takes over all reading from and writing to the connection. */
     void takeOver() {
         filter.stopIntercepting();
         answeredMessages = filter.messages();
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Answers what is complete, and what can't be completed without its body being read. */
+    /** Answers the complete requests, and one that can't be completed without reading its body. */
     private void answer(boolean isReadinessRequest) throws IOException {
         boolean isInBody = !filter.isBetweenMessages() && !filter.isInHead();
         int count = filter.messages() - answeredMessages + (isInBody ? 1 : 0);
@@ -120,7 +120,10 @@
         }
     }
 
-    /** Unless there is none: then the connection ends as soon as the answer is written. */
+    /**
+     * Once the last response has been given, limits the time for which the rest of the body is discarded; without a
+     * body the connection is closed as soon as the response is written.
+     */
     private void discardBody(boolean hasBody) throws IOException {
         if (!isDiscarding) {
             return;
--- a/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
@@ -9,9 +9,9 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Rejects the requests that are read too late in a shutdown to be forwarded, with bytes made beforehand and without
- * Undertow, {@link RequestDispatcher} or admission. Guards against a process that has little of a core left, and cold
- * code, and can't reject a crowd's requests by the kill: the usual way of a rejection costs many times as much.
+ * Rejects requests that are read too late in a shutdown to be forwarded, with responses encoded in advance and without
+ * Undertow, {@link RequestDispatcher} or admission. Guards against a process with little CPU left and cold code that
+ * can't reject the requests of many clients before it is killed: an ordinary rejection costs many times as much.
  */
 final class LateRequestRejecter {
 
@@ -30,12 +30,12 @@
     private final byte[] lastRejection;
     private final byte[] notReady = (NOT_READY + CLOSES + NO_BODY).getBytes(ISO_8859_1);
     private final byte[] malformed = (MALFORMED + CLOSES + NO_BODY).getBytes(ISO_8859_1);
-    /** Empty between the reads: one connection uses it after the other. */
+    /** Shared by all connections, one read at a time; holds nothing between reads. */
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BYTES);
 
     private int rejectedCount;
 
-    /** @param retryAfterSeconds what clients are told, 0 for no advice */
+    /** @param retryAfterSeconds the Retry-After sent to clients, 0 for none */
     LateRequestRejecter(EventLoop loop, ClientConnections connections, Shutdown shutdown, double retryAfterSeconds) {
         this.loop = loop;
         this.connections = connections;
@@ -48,10 +48,11 @@
     }
 
     /**
-     * Called once for each connection, before anything is read on it. Takes it over at once where its first request
-     * would come too late, else with the first request that does while none is open.
+     * Starts to intercept late requests on a connection; called once for each, before anything is read on it. Takes the
+     * connection over at once if its first request would already be too late, else with the first late request that
+     * arrives while none is open.
      *
-     * @return whether it has taken the connection over
+     * @return whether the connection has been taken over
      */
     boolean watch(StreamConnection socket, RequestFramingFilter filter) {
         LateRequestConnection connection = new LateRequestConnection(loop, this, connections, socket, filter);
@@ -63,12 +64,16 @@
         return false;
     }
 
-    /** How many requests it has rejected. */
+    /** Returns the number of requests rejected here. */
     int rejectedCount() {
         return rejectedCount;
     }
 
-    /** The bytes that answer so many complete requests; the connection may end behind the last of them. */
+    /**
+     * Returns the encoded responses that reject {@code count} complete requests, and counts these.
+     *
+     * @param isLast whether the connection ends after the last of them
+     */
     ByteBuffer responses(int count, boolean isLast) {
         ByteBuffer responses = ByteBuffer.allocate(count * lastRejection.length);
         for (int i = 1; i < count; i++) {
@@ -78,11 +83,12 @@
         return responses.put(isLast ? lastRejection : rejection).flip();
     }
 
+    /** Returns the encoded response to a readiness request; it ends the connection. */
     ByteBuffer notReady() {
         return ByteBuffer.wrap(notReady);
     }
 
-    /** Answers a malformed request and those before it that were complete. */
+    /** Returns the encoded responses to a malformed request and to the complete requests before it. */
     ByteBuffer malformed(int completeBefore) {
         ByteBuffer before = completeBefore > 0 ? responses(completeBefore, false) : ByteBuffer.allocate(0);
         return ByteBuffer.allocate(before.remaining() + malformed.length)
@@ -91,12 +97,12 @@
                 .flip();
     }
 
-    /** For one read. */
+    /** Returns the empty buffer for one read; its contents are valid only until the next one. */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
-    /** Whether the bytes, from the first byte of a message on, ask for readiness. */
+    /** Whether the bytes, which begin with the first byte of a message, are a readiness request. */
     static boolean isReadinessRequest(ByteBuffer bytes) {
         if (bytes.remaining() < READINESS_REQUEST.length()) {
             return false;
@@ -115,7 +121,10 @@
         return !shutdown.mayForward(now);
     }
 
-    /** Called within a read by Undertow, which sets its own listener behind it: taken over in a task of its own. */
+    /**
+     * Called within a read by Undertow, which sets its own read listener afterwards; the takeover therefore runs in a
+     * separate task.
+     */
     private boolean intercepts(LateRequestConnection connection) {
         if (!isTooLate() || !connection.awaitsRequest()) {
             return false;
--- a/daemon/src/main/java/portrelay/net/client/LingeringClose.java
+++ b/daemon/src/main/java/portrelay/net/client/LingeringClose.java
@@ -14,27 +14,27 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * Ends a connection behind its response: the callback of the response's sender. Where the client may still be sending,
- * what comes is read and thrown away first (RFC 9112, 9.6): a close on unread bytes is a reset, which takes a response
- * with it that has not been read yet.
+ * Closes a connection after its response; used as the callback of the response's sender. Where the client may still be
+ * sending, received bytes are read and discarded first (RFC 9112, 9.6): closing with unread bytes sends a reset, which
+ * destroys a response that the client has not read yet.
  */
 public final class LingeringClose implements IoCallback {
 
     /**
-     * For how long bytes are thrown away, in seconds.
+     * Limits of the time for which bytes are discarded, in seconds.
      *
      * @param maxSilence longest time without a byte
-     * @param maxTotal longest time in all
+     * @param maxTotal longest time in total
      */
     record Patience(double maxSilence, double maxTotal) {}
 
-    /** Behind a malformed request: its sender may go on for ever. */
+    /** Limits after a malformed request, whose sender may never stop sending. */
     public static final Patience BRIEF = new Patience(0.5, 0.5);
-    /** While a sound body is on its way: a slow client reads its response only once it has sent the last byte. */
+    /** Limits for the rest of a well-formed body: a slow client reads its response only after sending the last byte. */
     static final Patience FOR_THE_BODY = new Patience(2.5, 10);
 
     private static final double CHECK_INTERVAL_SECONDS = 0.25;
-    /** Reads in one turn of the loop, so that others have their turn between. */
+    /** Maximum number of reads in one turn of the loop, so that other tasks run in between. */
     private static final int MAX_READS_PER_TURN = 64;
 
     private static final int READ_BYTES = 4 * 1024;
@@ -44,7 +44,7 @@
     private final boolean lingersAfterCompleteRequest;
     private final Patience patience;
 
-    /** @param lingersAfterCompleteRequest whether to linger also where the request was read to its end */
+    /** @param lingersAfterCompleteRequest whether to linger even if the request was read completely */
     public LingeringClose(
             EventLoop loop, ClientConnections connections, boolean lingersAfterCompleteRequest, Patience patience) {
         this.loop = loop;
@@ -56,7 +56,7 @@
     @Override
     public void onComplete(HttpServerExchange exchange, Sender sender) {
         if (exchange.isRequestComplete() && !lingersAfterCompleteRequest) {
-            // Not a plain close: a response without a body has not been written yet.
+            // Ends the exchange instead of closing the connection: a response without a body has not been written yet.
             exchange.endExchange();
             return;
         }
@@ -74,7 +74,7 @@
         connections.close(connection, RequestProgress.EndCause.LINGER_OVER);
     }
 
-    /** One connection whose response is written, until its client ends it or the patience is over. Owns its buffer. */
+    /** A connection whose response is written, until the client closes it or a limit is reached. Owns its buffer. */
     private final class Discarding {
 
         private final HttpServerConnection connection;
@@ -131,7 +131,7 @@
                 return;
             }
             if (now < lastByteAt + CHECK_INTERVAL_SECONDS) {
-                // Starts the phase anew: a client that still sends must not be evicted as one that does not read.
+                // Restarts the phase: a client that still sends must not be evicted as one that does not read.
                 connections.phaseChanged(connection, ConnectionCapacity.Phase.ANSWERING);
             }
             loop.schedule(CHECK_INTERVAL_SECONDS, this::checkPatience);
--- a/daemon/src/main/java/portrelay/net/client/MalformedRequestException.java
+++ b/daemon/src/main/java/portrelay/net/client/MalformedRequestException.java
@@ -1,19 +1,19 @@
 package portrelay.net.client;
 
-/** What a client sent is no request of the protocol. The message is sent to it as the body of the response. */
+/** Thrown for bytes or fields that are not a valid request. The message is the body of the response to the client. */
 final class MalformedRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    /** Without a stack trace: it says what is wrong with the input, not where this program is. */
+    /** Creates the exception without a stack trace, as the fault lies in the input and not in this program. */
     MalformedRequestException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
 
-    /** The HTTP status of the response. */
+    /** Returns the HTTP status of the response. */
     int status() {
         return status;
     }
--- a/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
@@ -19,8 +19,8 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Makes an {@link IncomingRequest} of a request that was read, rejects what can't be forwarded and hands the others to
- * admission. Owns the requests that wait for a response.
+ * Creates an {@link IncomingRequest} from each request that was read, rejects those that can't be forwarded and passes
+ * the others to admission. Owns the requests that wait for a response.
  */
 final class RequestDispatcher {
 
@@ -33,7 +33,7 @@
     private final ResponseWriter responses;
     private final Shutdown shutdown;
     private final double retryAfterSeconds;
-    /** Those that wait for a response, by the ids that their clients gave. */
+    /** The requests that wait for a response, by the ids that their clients gave. */
     private final Map<String, ClientResponder> pending = new HashMap<>();
 
     private long dispatched;
@@ -60,16 +60,16 @@
         this.retryAfterSeconds = retryAfterSeconds;
     }
 
-    /** How many requests were rejected because the process shuts down. */
+    /** Returns the number of requests rejected here because of the shutdown. */
     int rejectedDuringShutdown() {
         return rejectedDuringShutdown;
     }
 
     /**
-     * Called once for each request whose framing is sound.
+     * Passes a request to admission or rejects it. Called once for each request with valid framing.
      *
-     * @param body the complete body; empty where {@code requestBody} is given
-     * @param requestBody a long body that is still coming, or null
+     * @param body the complete body; empty if {@code requestBody} is given
+     * @param requestBody a long body that is still being received, or null
      */
     void dispatch(HttpServerExchange exchange, byte[] body, RequestBody requestBody) {
         RequestArrival arrival;
@@ -85,8 +85,8 @@
         }
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         String clientsId = arrival.id().value();
-        // Unique from here on: what is still reported of a request that its client gave up must not be taken for news
-        // of the client's retry, which may carry the same id.
+        // A unique id: late events of a request that its client gave up must not be attributed to the client's retry,
+        // which may carry the same id.
         RequestArrival unique = arrival.withId(new RequestId(clientsId + " " + ++dispatched));
         ClientResponder responder = new ClientResponder(
                 loop, log, connections, responses, this, exchange, clientsId, unique.id(), requestBody);
@@ -124,17 +124,17 @@
         return arrival;
     }
 
-    /** The raw path and query, as they are forwarded. */
+    /** Returns the raw path and query, as they are forwarded. */
     private static String target(HttpServerExchange exchange) {
         String query = exchange.getQueryString();
         return HeaderForwarding.path(exchange) + (query.isEmpty() ? "" : "?" + query);
     }
 
-    /** Rejects the request and returns true where it may not reach admission; no attempt has been made then. */
+    /** Rejects the request and returns true if it must not reach admission; no attempt has been made in that case. */
     private boolean rejectIfNotForwardable(
             HttpServerExchange exchange, ClientResponder responder, RequestArrival arrival) {
         if (connections.isFullOfRequests()) {
-            // No connection is left that could be evicted.
+            // There is no connection left to evict.
             counters.countRejectedForCapacity();
             exchange.setPersistent(false);
             responder.rejected(0);
@@ -142,7 +142,7 @@
         }
         boolean mayForward = shutdown.mayForward(loop.now());
         if (!mayForward || arrival.deadline() <= loop.now()) {
-            // Late in a shutdown, or the deadline passed while it waited behind another one on its connection.
+            // Late in a shutdown, or the deadline passed while a pipelined request waited for the one before it.
             rejectedDuringShutdown += mayForward ? 0 : 1;
             responder.rejected(retryAfterSeconds);
             return true;
@@ -150,7 +150,10 @@
         return false;
     }
 
-    /** The first of the two debug lines of each request; the second tells its response or its connection's end. */
+    /**
+     * Returns the first of the two debug lines of each request; the second reports the response or the end of the
+     * connection.
+     */
     private String takenLine(String clientsId, HttpServerConnection connection, RequestArrival arrival) {
         return String.format(
                 Locale.ROOT,
@@ -160,12 +163,12 @@
                 arrival.deadline() - loop.now());
     }
 
-    /** The response has begun, or nobody waits for one any more. */
+    /** Removes a request whose response has begun or whose client no longer waits for one. */
     void ended(ClientResponder responder) {
         pending.remove(responder.clientsId(), responder);
     }
 
-    /** The client of a request that had no response yet is gone. */
+    /** Reports to admission that the client left before the response began. */
     void clientLeft(RequestId id) {
         admission.clientLeft(id);
     }
--- a/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
@@ -11,15 +11,16 @@
 import portrelay.net.http.ReadFilter;
 
 /**
- * The lowest conduit of a client's connection: lets bytes through up to where their framing is malformed; from there on
- * reading fails with {@link MalformedFramingException}. Can look ahead, and notes when each request was complete.
+ * The lowest source conduit of a client connection. Passes bytes on up to the point where their framing is malformed;
+ * reads after that fail with {@link MalformedFramingException}. Can peek at unread bytes, and records when each request
+ * was complete.
  */
 public final class RequestFramingFilter extends ReadFilter {
 
-    /** Read ahead by one look: enough to see that something is there. */
+    /** Bytes read ahead by one peek: enough to see that something has arrived. */
     private static final int PEEK_BYTES = 512;
 
-    /** The framing of what a client sent is malformed; the client itself may well be there. */
+    /** Thrown when the framing of the received bytes is malformed; the client may still be connected. */
     static final class MalformedFramingException extends IOException {
 
         private static final long serialVersionUID = 1;
@@ -32,14 +33,14 @@
     private final Framing framing = Framing.ofRequests();
     private final Runnable bytesReceived;
     private final DoubleSupplier clock;
-    /** When each request was complete: the one that is handled first, then those sent behind it. */
+    /** When each request was complete: first the one being handled, then the pipelined ones. */
     private final Deque<Double> completedAt = new ArrayDeque<>();
-    /** What was read ahead by a look; null where there is nothing. */
+    /** Bytes read ahead by a peek; null if there are none. */
     private ByteBuffer peeked;
 
-    /** Whether the request that begins now goes to another reader; null where none is intercepted. */
+    /** Returns whether the request that begins now goes to another reader; null if requests are not intercepted. */
     private BooleanSupplier interceptor;
-    /** Nothing is given to the present reader any more. */
+    /** Whether the present reader gets no more bytes. */
     private boolean isIntercepted;
 
     private boolean isParsing = true;
@@ -47,8 +48,8 @@
     private int requestsStarted;
 
     /**
-     * @param bytesReceived called whenever bytes have come
-     * @param clock the earliest moment at which bytes that are read now may have come, in seconds
+     * @param bytesReceived called whenever bytes have been read
+     * @param clock returns the earliest time at which bytes that are read now may have arrived, in seconds
      */
     public RequestFramingFilter(StreamSourceConduit next, Runnable bytesReceived, DoubleSupplier clock) {
         super(next);
@@ -57,8 +58,8 @@
     }
 
     /**
-     * Whether bytes wait unread; what is read to find out is kept for the reader. Whoever goes on with the connection
-     * after this has to wake its reader up.
+     * Whether bytes wait unread; those that this call reads are kept for the reader. A caller that keeps the connection
+     * open must wake up its reader afterwards.
      */
     public boolean peek() throws IOException {
         readPeeked();
@@ -97,14 +98,14 @@
     }
 
     /**
-     * Asks the interceptor at each read between two requests; once it says yes, reads return nothing until
-     * {@link #stopIntercepting}.
+     * Sets the interceptor, which is called at each read between two requests; once it returns true, reads return 0
+     * bytes until {@link #stopIntercepting}.
      */
     void interceptRequests(BooleanSupplier interceptor) {
         this.interceptor = interceptor;
     }
 
-    /** Reads return what has come. */
+    /** Removes the interceptor, so that reads return the received bytes again. */
     void stopIntercepting() {
         interceptor = null;
         isIntercepted = false;
@@ -117,22 +118,22 @@
         return isIntercepted;
     }
 
-    /** Whether nothing has been read behind the last complete request. */
+    /** Whether nothing has been read after the last complete request. */
     boolean isBetweenMessages() {
         return framing.isBetweenMessages();
     }
 
-    /** Whether it stands in the head of a request, or before it. */
+    /** Whether the read position is in the head of a request, or before it. */
     boolean isInHead() {
         return framing.isInHead();
     }
 
-    /** How many requests have been read completely. */
+    /** Returns the number of requests that have been read completely. */
     int messages() {
         return framing.messages();
     }
 
-    /** The next request on this connection is handled from here on; the moment of the one before is dropped. */
+    /** Records that the next request is being handled; drops the completion time of the one before. */
     void nextRequestStarted() {
         if (requestsStarted > 0) {
             completedAt.pollFirst();
@@ -140,32 +141,32 @@
         requestsStarted++;
     }
 
-    /** When the last byte of the request that is handled was read; NaN while it is incomplete. */
+    /** Returns when the last byte of the request being handled was read; NaN while it is incomplete. */
     double completedAt() {
         return completedAt.isEmpty() ? Double.NaN : completedAt.peekFirst();
     }
 
-    /** Whether the client's end is the next that would be read. */
+    /** Whether the next read would return the end of the stream. */
     boolean isAtEnd() throws IOException {
         return readPeeked() < 0;
     }
 
-    /** How many bytes have been read. */
+    /** Returns the number of bytes that have been read. */
     long bytes() {
         return bytes;
     }
 
-    /** From here on everything is let through: whoever reads it throws it away and waits for the end. */
+    /** Passes all further bytes on unparsed; the reader discards them and waits for the end of the stream. */
     void stopParsing() {
         isParsing = false;
     }
 
-    /** Whether the last head can be understood in more than one way, as with folded lines. */
+    /** Whether the last head can be interpreted in more than one way, for example because of folded lines. */
     boolean isHeadAmbiguous() {
         return framing.isAmbiguous();
     }
 
-    /** Follows what was put into the target from there on; returns where it stops being well-formed. */
+    /** Parses the bytes put into the target from {@code start} on; returns the position at which they are malformed. */
     private int parse(ByteBuffer target, int start) {
         ByteBuffer unparsed = target.duplicate();
         unparsed.flip().position(start);
@@ -202,7 +203,7 @@
         return count;
     }
 
-    /** The kernel signals only bytes that it still has; for those that were peeked the reader is woken up here. */
+    /** Wakes up the reader for peeked bytes, as the kernel signals only bytes that it still holds. */
     private void wakeReader() {
         if (next.isReadResumed()) {
             next.wakeupReads();
--- a/daemon/src/main/java/portrelay/net/client/RequestHandler.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestHandler.java
@@ -16,12 +16,12 @@
 import portrelay.net.http.WireNames;
 
 /**
- * Undertow's root handler: called once for each head that was read. Answers readiness requests and heads whose framing
- * is not sound; of all others it takes in the body, or the beginning of a long one, for {@link RequestDispatcher}.
+ * Undertow's root handler, called once for each head that was read. Answers readiness requests and heads with invalid
+ * framing; for all others it reads the body, or the beginning of a long one, for {@link RequestDispatcher}.
  */
 final class RequestHandler implements HttpHandler {
 
-    /** Set on a connection once it is tracked. */
+    /** Set on a connection whose close is tracked. */
     private static final AttachmentKey<Boolean> TRACKED = AttachmentKey.create(Boolean.class);
 
     private final EventLoop loop;
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Reads the body, or begins to.
+     * Reads the body or begins to, and dispatches the request.
      *
-     * @param length in bytes, -1 where the head does not give it: then the body is chunked
+     * @param length length of the body in bytes, -1 if the head does not give it because the body is chunked
      */
     private void receiveBody(HttpServerExchange exchange, long length) {
         if (length < 0) {
@@ -130,7 +130,7 @@
                 .collect();
     }
 
-    /** The body is forwarded as it comes: {@code beginning} is what was read of it. */
+    /** Dispatches a request whose body is forwarded while it is received; {@code beginning} has been read already. */
     private void stream(HttpServerExchange exchange, StreamSourceChannel source, byte[] beginning, long length) {
         ByteBufferPool pool = exchange.getConnection().getByteBufferPool();
         dispatcher.dispatch(exchange, HttpCall.NO_BODY, new RequestBody(loop, pool, source, beginning, length));
--- a/daemon/src/main/java/portrelay/net/client/RequestProgress.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestProgress.java
@@ -6,31 +6,31 @@
 import portrelay.net.eventloop.Log;
 
 /**
- * What is known of a client's connection while a request is open on it, for the debug log: a connection that ends
- * before its response is complete leaves one line.
+ * State of a client connection while a request is open on it, for the debug log: a connection that ends before its
+ * response is complete is logged with one line.
  */
 final class RequestProgress {
 
-    /** What ended the connection, as far as this process knows. */
+    /** The cause of the connection's end, as far as this process knows. */
     enum EndCause {
-        /** The client closed or broke it. */
+        /** The client closed the connection, or it broke. */
         CLIENT_LEFT,
-        /** The request's body ended too early or came too slowly. */
+        /** The request's body ended too early or arrived too slowly. */
         BODY_BROKE_OFF,
-        /** The response's body ended too early or came too slowly. */
+        /** The response's body ended too early or arrived too slowly. */
         UPSTREAM_BROKE_OFF,
-        /** The client took no more of the response. */
+        /** The client stopped reading the response. */
         CLIENT_UNREADING,
-        /** {@link ConnectionCapacity} chose it. */
+        /** {@link ConnectionCapacity} selected the connection for eviction. */
         EVICTED,
-        /** The patience of {@link LingeringClose} was over. */
+        /** A time limit of {@link LingeringClose} was reached. */
         LINGER_OVER,
         /** None of these. */
         UNKNOWN
     }
 
     private final String requestId;
-    /** Bytes of the response's body that have been written. */
+    /** Returns the number of bytes of the response's body that have been written. */
     private final LongSupplier bytesOut;
 
     private double lastReceivedAt;
@@ -52,14 +52,14 @@
         lastSentAt = now;
     }
 
-    /** The first cause counts: what follows is its effect. */
+    /** Records the cause of the end; only the first one counts, as later ones are its effects. */
     void endsBy(EndCause endCause) {
         if (cause == EndCause.UNKNOWN) {
             cause = endCause;
         }
     }
 
-    /** The line for the log; its times are seconds since the last byte in and out, or since the request began. */
+    /** Returns the log line; its times are seconds since the last byte in and out, or since the request began. */
     String line(ConnectionCapacity.Phase phase, long bytesIn, double now) {
         return String.format(
                 Locale.ROOT,
--- a/daemon/src/main/java/portrelay/net/client/RequestReader.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestReader.java
@@ -19,33 +19,35 @@
 import portrelay.settings.Settings;
 
 /**
- * Reads the few fields of a request that the decisions need; all else is forwarded as it came. The idempotency key is
- * only checked to be there: the upstreams compare keys, the decisions do not.
+ * Reads the few fields of a request that the decisions need; everything else is forwarded unchanged. The idempotency
+ * key is only checked for presence: the upstreams compare keys, the decisions do not.
  */
 public final class RequestReader {
 
-    /** In characters. */
+    /** Maximum length of a request id in characters. */
     private static final int MAX_ID_LENGTH = 256;
-    /** So many fit into an int. */
+    /** Nine digits always fit into an int. */
     private static final Pattern UP_TO_NINE_DIGITS = Pattern.compile("\\d{1,9}");
-    /** The client's deadline runs from before the request came, and the response has to reach it in time. */
+    /** Allowance for the network: the client's time runs from before the arrival until it receives the response. */
     private static final double NETWORK_MARGIN_SECONDS = 0.005;
-    /** What the margin leaves of a shorter time: the deadline stays ahead of the arrival. */
+    /** Minimum time left after the margin, so that the deadline is always after the arrival. */
     private static final double MIN_TIME_LEFT_SECONDS = 0.001;
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
     private final Settings settings;
 
+    /** @param settings the request classes and tenants */
     public RequestReader(Settings settings) {
         this.settings = settings;
     }
 
     /**
-     * Checks the framing by the head alone, before a body is read that is too long, or whose end another reader of the
-     * same bytes could see elsewhere: that would hide a second request in it (request smuggling).
+     * Checks the framing by the head alone, before the body is read. Rejects a body that is too long, or whose end
+     * another parser of the same bytes could place elsewhere, which could hide a second request in the body (request
+     * smuggling).
      *
-     * @return the body's length in bytes, -1 where the head does not give it
+     * @return the body's length in bytes, -1 if the head does not give it
      */
     long checkFraming(HttpServerExchange exchange) throws MalformedRequestException {
         HeaderMap headers = exchange.getRequestHeaders();
@@ -67,19 +69,19 @@
         return bytes;
     }
 
-    /** What a body of more than {@link HttpCall#MAX_BODY} bytes is answered. */
+    /** Returns the rejection of a body of more than {@link HttpCall#MAX_BODY} bytes. */
     static MalformedRequestException tooLong() {
         String message = "body over " + HttpCall.MAX_BODY + " bytes";
         return new MalformedRequestException(StatusCodes.REQUEST_ENTITY_TOO_LARGE, message);
     }
 
     /**
-     * Reads a request whose framing is sound. Its deadline may be over by now.
+     * Reads a request with valid framing. Its deadline may already have passed.
      *
-     * @param hasBody whether its body has any bytes
-     * @param isStreamed whether the body is forwarded as it comes, so that it can be sent only once
-     * @param since when the request came, which the time that the client gave counts from
-     * @param latestDeadline end of what the process can still answer; the request's deadline is not later
+     * @param hasBody whether the body has any bytes
+     * @param isStreamed whether the body is forwarded while it is received, so that it can be sent only once
+     * @param since when the request arrived; the time that the client gave counts from here
+     * @param latestDeadline the latest time at which the process can answer; the request's deadline is not later
      */
     RequestArrival read(
             HttpServerExchange exchange, boolean hasBody, boolean isStreamed, double since, double latestDeadline)
@@ -104,7 +106,7 @@
         return new RequestId(id);
     }
 
-    /** The class is named twice, by a header and by the first segment of the path; both have to agree. */
+    /** Reads the request class, which a header and the first segment of the path both name; they must agree. */
     private RequestClassId readRequestClass(HttpServerExchange exchange, HeaderMap headers)
             throws MalformedRequestException {
         String name = single(headers, WireNames.REQUEST_CLASS);
@@ -125,7 +127,7 @@
         return tenant;
     }
 
-    /** Seconds for which the client waits; never longer than its class's deadline, whatever a client says. */
+    /** Returns the seconds for which the client waits, at most the deadline of the request class. */
     private static double readTimeLeft(HeaderMap headers, RequestClass requestClass) throws MalformedRequestException {
         String text = single(headers, WireNames.DEADLINE_MS);
         int millis = text == null ? -1 : parseNumber(text);
@@ -155,7 +157,7 @@
         return new MalformedRequestException(StatusCodes.BAD_REQUEST, header + " is missing or not understood");
     }
 
-    /** The header's one value, null where there is none; a header that stands twice says nothing sure. */
+    /** Returns the single value of a header, or null if it is absent; a repeated header is ambiguous and rejected. */
     private static String single(HeaderMap headers, HttpString name) throws MalformedRequestException {
         HeaderValues values = headers.get(name);
         if (values == null) {
@@ -167,7 +169,7 @@
         return values.getFirst();
     }
 
-    /** The number of up to nine digits, -1 where the text is anything else. */
+    /** Returns a number of up to nine digits, or -1 if the text is anything else. */
     private static int parseNumber(String text) {
         return UP_TO_NINE_DIGITS.matcher(text).matches() ? Integer.parseInt(text) : -1;
     }
--- a/daemon/src/main/java/portrelay/net/client/ResponseStream.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseStream.java
@@ -8,10 +8,10 @@
 import portrelay.net.eventloop.Log;
 import portrelay.net.http.BodyTransfer;
 
-/** A long response on its way to its client: keeps the connection's phase up to date, and closes it where it breaks. */
+/** Follows a streamed response: keeps the connection's phase up to date, and closes the connection on a failure. */
 final class ResponseStream implements BodyTransfer.Listener {
 
-    /** How often progress renews the phase, in seconds: less often than each piece. */
+    /** Minimum interval at which progress renews the phase, in seconds, so that not every piece does. */
     private static final double RENEW_PHASE_SECONDS = 0.25;
 
     private final EventLoop loop;
@@ -19,7 +19,7 @@
     private final ClientConnections connections;
     private final HttpServerConnection connection;
 
-    /** Whether the response waits for its client to read, not for the upstream to send. */
+    /** Whether the response waits for the client to read, rather than for the upstream to send. */
     private boolean waitsForClient = true;
 
     private double phaseRenewedAt;
@@ -31,7 +31,7 @@
         this.connection = connection;
     }
 
-    /** A client that reads on, however slowly, must not be evicted as one that does not read. */
+    /** Renews the phase: a client that reads, however slowly, must not be evicted as one that does not. */
     @Override
     public void transferred() {
         connections.responseBytesSent(connection);
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Only a client that does not read may be evicted for it; how long the upstream is waited for is
-     * {@link portrelay.net.connection.HttpConnection}'s to say.
+     * Sets the phase so that a client may be evicted only while it does not read. How long the upstream is waited for
+     * is decided by {@link portrelay.net.connection.HttpConnection}.
      */
     @Override
     public void waitsFor(BodyTransfer.Side side) {
@@ -61,7 +61,10 @@
         // The exchange has ended with its last byte.
     }
 
-    /** Closed with a reset: the client must see that the body is incomplete, also where only its end would tell. */
+    /**
+     * Closes with a reset: the client must see that the body is incomplete, even if only the end of the connection
+     * marks the end of the body.
+     */
     @Override
     public void sourceFailed() {
         try {
--- a/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
@@ -9,16 +9,16 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.Log;
 
-/** Writes responses that are held in memory, and chooses how the connection ends behind each. */
+/** Writes responses that are held in memory, and chooses how the connection ends after each. */
 final class ResponseWriter {
 
-    /** What may still come on a connection when its last response is written. */
+    /** Bytes that may still arrive on a connection when its last response is written. */
     enum Unread {
         /** Nothing of this request. */
         NOTHING,
-        /** The rest of a sound body. */
+        /** The rest of a well-formed body. */
         BODY,
-        /** Bytes that the client sent behind a complete request and that are discarded. */
+        /** Bytes that the client sent after a complete request and that are discarded. */
         BEHIND_REQUEST
     }
 
@@ -38,7 +38,7 @@
         closeAfterComplete = new LingeringClose(loop, connections, true, LingeringClose.BRIEF);
     }
 
-    /** Whether connections end as soon as nothing is owed on them. */
+    /** Whether connections end as soon as no response is due on them. */
     boolean closesConnections() {
         return service.closesConnections();
     }
@@ -59,14 +59,14 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(body), close);
     }
 
-    /** Answers a request that is complete but can't be accepted; the connection stays. */
+    /** Answers a request that is complete but can't be accepted; the connection stays open. */
     void reject(HttpServerExchange exchange, MalformedRequestException cause) {
         reject(exchange, cause, IoCallback.END_EXCHANGE);
     }
 
     /**
-     * Answers a request whose end is unknown or too far to be read: what follows on the connection must neither be
-     * taken for a request nor be read to its end.
+     * Answers a request whose end is unknown or too far away to be read, and closes the connection: bytes that follow
+     * must neither be taken for a request nor be read to their end.
      */
     void rejectAndClose(HttpServerExchange exchange, MalformedRequestException cause) {
         exchange.setPersistent(false);
--- a/daemon/src/main/java/portrelay/net/client/ServiceState.java
+++ b/daemon/src/main/java/portrelay/net/client/ServiceState.java
@@ -7,14 +7,14 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Whether clients are to stay: readiness, operators' out-of-service switch and the shutdown, and the closing of idle
- * connections while the sidecar is out of service.
+ * Decides whether connections of clients are kept, from readiness, the operators' out-of-service switch and the
+ * shutdown. Closes idle connections while the sidecar is out of service.
  */
 final class ServiceState {
 
-    /** For so long after the switch clients may still send, by the readiness that they saw last. */
+    /** Time after the switch during which clients may still send, as they act on the readiness that they saw last. */
     private static final double GRACE_SECONDS = 0.6;
-    /** A connection that has been idle for so long is closed; a new one may be silent for as long. */
+    /** Idle time after which a connection is closed; a new one may be silent for as long. */
     private static final double IDLE_SECONDS = 0.2;
 
     private final EventLoop loop;
@@ -23,7 +23,7 @@
 
     private boolean isReady;
     private boolean isInService = true;
-    /** Number of the last switch: a timer of an earlier one does nothing. */
+    /** Number of the last switch; timers of earlier switches have no effect. */
     private int generation;
 
     ServiceState(EventLoop loop, ClientConnections connections, Shutdown shutdown) {
@@ -36,14 +36,15 @@
         isReady = ready;
     }
 
-    /** What a readiness request is answered. */
+    /** Whether a readiness request is answered with status 200 rather than 503. */
     boolean isReady() {
         return isReady && isInService;
     }
 
     /**
-     * Out of service, requests are still served, but each response ends its connection, and idle connections are closed
-     * as soon as what clients had sent by then has arrived.
+     * Takes the sidecar out of service or puts it back. Out of service, requests are still served, but each response
+     * ends its connection, and idle connections are closed once the requests that clients had already sent have
+     * arrived.
      */
     void setInService(boolean inService) {
         if (inService != isInService) {
@@ -60,14 +61,14 @@
         }
     }
 
-    /** Whether a connection is to end once nothing is owed on it. */
+    /** Whether a connection ends as soon as no response is due on it. */
     boolean closesConnections() {
         return shutdown.closesConnections() || !isInService;
     }
 
     /**
-     * Makes the response the last one of its connection where that is to end; not where more requests have been read
-     * behind this one, as those are owed a response too.
+     * Makes the response the last one of its connection if connections are to end; not if more requests have been read
+     * after this one, as they are due a response too.
      */
     void endConnectionIfDue(HttpServerExchange exchange) {
         if (closesConnections() && ((HttpServerConnection) exchange.getConnection()).getExtraBytes() == null) {
--- a/daemon/src/test/java/portrelay/net/client/ClientListenerTest.java
+++ b/daemon/src/test/java/portrelay/net/client/ClientListenerTest.java
@@ -33,22 +33,22 @@
 import portrelay.net.eventloop.Log;
 import portrelay.net.eventloop.MonotonicClock;
 
-/** Who is in the listen queue as the listener closes is accepted, and nobody is let in and then reset. */
+/** Connections in the listen queue are accepted when the listener closes, and none is established and then reset. */
 @Timeout(30)
 class ClientListenerTest {
 
     private static final int MAX_CLIENTS = 100;
     private static final int QUEUED = 3;
     private static final int LONG_QUEUE = 200;
-    /** Of a long queue no more are handed on before a timer that is due. */
+    /** Maximum number of connections of a long queue that are delivered before a timer that is due. */
     private static final int MAX_BEFORE_TIMER = 64;
-    /** The same where each connection takes long to handle. */
+    /** The same maximum if each connection takes long to handle. */
     private static final int MAX_SLOW_BEFORE_TIMER = 8;
 
     private static final long SLOW_NANOS = 5_000_000;
 
     private final BlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
-    /** For each that was accepted, whether the kernel still let others connect as it was handed on. */
+    /** For each accepted connection, whether the kernel still let others connect when it was delivered. */
     private final List<Boolean> letOthersIn = new ArrayList<>();
 
     private final List<Socket> clients = new ArrayList<>();
@@ -113,7 +113,7 @@
         clients.add(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** Guards against time between the last accept and the close: whom the kernel lets in meanwhile is reset. */
+    /** Guards against time between the last accept and the close: a connection established meanwhile is reset. */
     @Test
     void theQueueIsHandedOnOnceTheListenerIsClosed() throws Exception {
         onLoop(() -> {
@@ -127,21 +127,24 @@
         assertEquals(List.of(false, false, false), letOthersIn);
     }
 
-    /** Guards against one long turn for the whole queue, in which no timer of the shutdown fires. */
+    /** Guards against one long turn of the loop for the whole queue, in which no timer of the shutdown fires. */
     @Test
     void aTimerThatIsDueFiresBeforeALongQueueIsHandedOn() throws Exception {
         int handedOn = handedOnBeforeATimer();
-        assertTrue(handedOn <= MAX_BEFORE_TIMER, "handed on before the timer: " + handedOn);
+        assertTrue(handedOn <= MAX_BEFORE_TIMER, "connections delivered before the timer: " + handedOn);
     }
 
     @Test
     void aTimerThatIsDueWaitsForFewConnectionsThatTakeLong() throws Exception {
         isSlow = true;
         int handedOn = handedOnBeforeATimer();
-        assertTrue(handedOn <= MAX_SLOW_BEFORE_TIMER, "handed on before the timer: " + handedOn);
+        assertTrue(handedOn <= MAX_SLOW_BEFORE_TIMER, "connections delivered before the timer: " + handedOn);
     }
 
-    /** Of a long queue at the close; returns once all of it was handed on. */
+    /**
+     * Returns how many connections of a long queue are delivered after the close and before a timer that is due; waits
+     * until all of them have been delivered.
+     */
     private int handedOnBeforeATimer() throws Exception {
         CompletableFuture<Integer> handedOnByTimer = new CompletableFuture<>();
         onLoop(() -> {
@@ -155,7 +158,7 @@
         });
         int handedOn = handedOnByTimer.get();
         for (int i = 0; i < LONG_QUEUE; i++) {
-            assertNotNull(accepted.poll(5, TimeUnit.SECONDS), "not handed on: " + i);
+            assertNotNull(accepted.poll(5, TimeUnit.SECONDS), "connection not delivered: " + i);
         }
         return handedOn;
     }
@@ -170,7 +173,7 @@
         });
         assertEquals(0, listener.pendingCount());
         for (Socket each : clients.subList(accepted.size(), LONG_QUEUE)) {
-            assertTrue(isEnded(each), "open");
+            assertTrue(isEnded(each), "client connection still open");
         }
     }
 
@@ -187,6 +190,6 @@
     void warmingUpTheCloseLeavesTheListenerOpen() throws Exception {
         onLoop(() -> listener.warmUpClose(worker));
         connect();
-        assertNotNull(accepted.poll(5, TimeUnit.SECONDS), "not accepted");
+        assertNotNull(accepted.poll(5, TimeUnit.SECONDS), "connection not accepted");
     }
 }
--- a/daemon/src/test/java/portrelay/net/client/RequestProgressTest.java
+++ b/daemon/src/test/java/portrelay/net/client/RequestProgressTest.java
@@ -10,7 +10,7 @@
 import portrelay.admission.ConnectionCapacity;
 import portrelay.net.eventloop.Log;
 
-/** The debug line of a client's connection that ends before its answer is whole. */
+/** Tests the debug line of a client connection that ends before its response is complete. */
 class RequestProgressTest {
 
     @Test
@@ -30,7 +30,7 @@
     void debugLinesAreWrittenOnlyWhereTheyAreWanted() {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         new Log(new PrintStream(said, true, UTF_8), "n", false).debug(() -> {
-            throw new AssertionError("made for nobody");
+            throw new AssertionError("debug line built although debug logging is off");
         });
         assertEquals(0, said.size());
         new Log(new PrintStream(said, true, UTF_8), "n", true).debug(() -> "seen");
