--- a/daemon/src/main/java/portrelay/net/client/ClientConnection.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnection.java
@@ -20,23 +20,23 @@
     }
 
     /** Records why the open request ends; does nothing while no request is open. */
-    void requestEndsBy(RequestProgress.EndCause cause) {
+    void recordRequestEndCause(RequestProgress.EndCause cause) {
         if (request != null) {
-            request.endsBy(cause);
+            request.recordEndCause(cause);
         }
     }
 
     /** Records that bytes of the open request have been read; does nothing while no request is open. */
     void bytesReceived(double now) {
         if (request != null) {
-            request.received(now);
+            request.bytesReceived(now);
         }
     }
 
     /** Records that bytes of the open request's response have been written; does nothing while no request is open. */
     void bytesSent(double now) {
         if (request != null) {
-            request.sent(now);
+            request.bytesSent(now);
         }
     }
 
@@ -50,9 +50,9 @@
     }
 
     /** Whether the client has closed its side; also true when the connection is broken. */
-    boolean hasEnded() {
+    boolean hasClientClosed() {
         try {
-            return filter.isAtEnd();
+            return filter.isAtEndOfStream();
         } catch (IOException e) {
             return true;
         }
@@ -62,12 +62,13 @@
      * Returns the log line of a close. A request that arrives between the last check for unread bytes and the close is
      * lost, so the line gives the times of both.
      *
-     * @param lookedAt when that check began, by {@link System#nanoTime}
-     * @param closedAt when the close had returned, by the same clock
+     * @param checkedNanos when that check began, by {@link System#nanoTime}
+     * @param closedNanos when the close had returned, by the same clock
      */
-    static String closedLine(SocketAddress client, ConnectionCapacity.Eviction eviction, long lookedAt, long closedAt) {
+    static String closeLogLine(
+            SocketAddress client, ConnectionCapacity.Eviction eviction, long checkedNanos, long closedNanos) {
         int port = client instanceof InetSocketAddress internet ? internet.getPort() : 0;
         return "client connection closed: client=" + port + " phase=" + eviction.phase() + " cause=" + eviction.cause()
-                + " looked-ns=" + lookedAt + " closed-ns=" + closedAt;
+                + " looked-ns=" + checkedNanos + " closed-ns=" + closedNanos;
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/ClientConnections.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnections.java
@@ -87,7 +87,7 @@
         ClientId id = ids.get(connection.getChannel());
         if (id != null) {
             capacity.phaseChanged(loop.now(), id, phase);
-            evictNotNeeded();
+            evictSurplus();
         }
     }
 
@@ -98,25 +98,25 @@
      * @param bytesOut returns the number of bytes of the response's body that have been written
      */
     void requestBegan(HttpServerConnection connection, String requestId, LongSupplier bytesOut) {
-        ClientConnection known = find(connection);
-        if (known != null) {
-            known.request = new RequestProgress(requestId, bytesOut, loop.now());
+        ClientConnection client = find(connection);
+        if (client != null) {
+            client.request = new RequestProgress(requestId, bytesOut, loop.now());
         }
     }
 
     /** Records that bytes of the response have been written. */
     void responseBytesSent(HttpServerConnection connection) {
-        ifKnown(connection, known -> known.bytesSent(loop.now()));
+        ifRegistered(connection, client -> client.bytesSent(loop.now()));
     }
 
     /** Records that the response to the open request has been written completely. */
     void responseCompleted(HttpServerConnection connection) {
-        ifKnown(connection, known -> known.request = null);
+        ifRegistered(connection, client -> client.request = null);
     }
 
     /** Closes the connection, even while a request is open on it. */
     void close(HttpServerConnection connection, RequestProgress.EndCause cause) {
-        ifKnown(connection, known -> known.requestEndsBy(cause));
+        ifRegistered(connection, client -> client.recordRequestEndCause(cause));
         IoUtils.safeClose(connection);
     }
 
@@ -127,20 +127,20 @@
     }
 
     /** Closes a connection whose last response has been written. */
-    void closeAnswered(StreamConnection socket) {
+    void closeAfterLastResponse(StreamConnection socket) {
         IoUtils.safeClose(socket);
         forget(socket);
     }
 
     /** Whether the last head that was read can be interpreted in more than one way. */
     boolean hasAmbiguousHead(HttpServerConnection connection) {
-        ClientConnection known = find(connection);
-        return known != null && known.filter.isHeadAmbiguous();
+        ClientConnection client = find(connection);
+        return client != null && client.filter.isHeadAmbiguous();
     }
 
     /** Records that the next request on the connection is being handled. */
     void nextRequestStarted(HttpServerConnection connection) {
-        ifKnown(connection, known -> known.filter.nextRequestStarted());
+        ifRegistered(connection, client -> client.filter.nextRequestStarted());
     }
 
     /**
@@ -149,24 +149,24 @@
      * response to the request before it is written.
      */
     double earliestArrival(HttpServerConnection connection) {
-        ClientConnection known = find(connection);
-        double completedAt = known == null ? Double.NaN : known.filter.completedAt();
+        ClientConnection client = find(connection);
+        double completedAt = client == null ? Double.NaN : client.filter.completedAt();
         return Double.isNaN(completedAt) ? loop.earliestArrival() : completedAt;
     }
 
     /** Whether the client has closed its side; also true when the connection is broken or already closed. */
-    boolean hasEnded(HttpServerConnection connection) {
-        ClientConnection known = find(connection);
-        return known == null || known.hasEnded();
+    boolean hasClientClosed(HttpServerConnection connection) {
+        ClientConnection client = find(connection);
+        return client == null || client.hasClientClosed();
     }
 
     /** Stops parsing requests: bytes that follow are read up to the end of the stream and discarded. */
     void stopParsing(HttpServerConnection connection) {
-        ifKnown(connection, known -> known.filter.stopParsing());
+        ifRegistered(connection, client -> client.filter.stopParsing());
     }
 
     /** Whether more requests wait for responses than connections are allowed. */
-    boolean isFullOfRequests() {
+    boolean exceedsRequestCapacity() {
         return capacity.count(ConnectionCapacity.Phase.ASKED) > maxConnections;
     }
 
@@ -187,10 +187,10 @@
         forgetClosed();
     }
 
-    private void ifKnown(HttpServerConnection connection, Consumer<ClientConnection> action) {
-        ClientConnection known = find(connection);
-        if (known != null) {
-            action.accept(known);
+    private void ifRegistered(HttpServerConnection connection, Consumer<ClientConnection> action) {
+        ClientConnection client = find(connection);
+        if (client != null) {
+            action.accept(client);
         }
     }
 
@@ -200,12 +200,12 @@
     }
 
     /** Stops closing idle connections as surplus, as their clients may be unable to open new ones. */
-    void keepSurplus() {
+    void keepSurplusConnections() {
         isKeepingSurplus = true;
     }
 
     /** Evicts idle connections in excess of those recently in use at the same time, also below every limit. */
-    private void evictNotNeeded() {
+    private void evictSurplus() {
         if (isKeepingSurplus) {
             return;
         }
@@ -240,7 +240,7 @@
         StreamConnection socket = connection.socket;
         boolean isOverdue = eviction.cause() == ConnectionCapacity.Cause.TOO_LONG;
         boolean isUnreadingClient = isOverdue && eviction.phase() == ConnectionCapacity.Phase.ANSWERING;
-        long lookedAt = System.nanoTime();
+        long checkedNanos = System.nanoTime();
         if (!isUnreadingClient && connection.hasUnreadBytes()) {
             if (eviction.cause() != ConnectionCapacity.Cause.SHUTDOWN) {
                 // In a shutdown the request begins only when it is read, as LateRequestConnection may take it over.
@@ -251,12 +251,12 @@
         }
         boolean wasOpen = socket.isOpen();
         SocketAddress client = socket.getPeerAddress();
-        connection.requestEndsBy(RequestProgress.EndCause.EVICTED);
+        connection.recordRequestEndCause(RequestProgress.EndCause.EVICTED);
         // Directly after the check: a request that arrives between the two is lost with the connection.
         IoUtils.safeClose(socket);
-        long closedAt = System.nanoTime();
+        long closedNanos = System.nanoTime();
         if (wasOpen) {
-            log.debug(() -> ClientConnection.closedLine(client, eviction, lookedAt, closedAt));
+            log.debug(() -> ClientConnection.closeLogLine(client, eviction, checkedNanos, closedNanos));
         }
         // The timeout of an idle connection does not indicate a problem, so it is not counted.
         if (wasOpen && !(isOverdue && eviction.phase() == ConnectionCapacity.Phase.IDLE)) {
@@ -272,7 +272,7 @@
             ConnectionCapacity.Phase phase = capacity.phase(id);
             capacity.closed(id);
             if (connection.request != null) {
-                log.debug(() -> connection.request.line(phase, connection.filter.bytes(), loop.now()));
+                log.debug(() -> connection.request.logLine(phase, connection.filter.bytesRead(), loop.now()));
             }
         }
     }
@@ -307,7 +307,7 @@
             evict(new ConnectionCapacity.Eviction(
                     id, ConnectionCapacity.Phase.IDLE, ConnectionCapacity.Cause.TOO_LONG));
         }
-        evictNotNeeded();
+        evictSurplus();
         scheduleSweep();
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/ClientFrontend.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientFrontend.java
@@ -92,9 +92,9 @@
      *
      * @throws IOException if the address can't be bound
      */
-    public void listen(XnioWorker worker, InetSocketAddress at, int maxClients) throws IOException {
+    public void listen(XnioWorker worker, InetSocketAddress address, int maxClients) throws IOException {
         connections.setMaxConnections(maxClients);
-        listener.listen(worker, at, maxClients);
+        listener.listen(worker, address, maxClients);
     }
 
     /**
@@ -121,7 +121,7 @@
                 client.getSourceChannel().getConduit(), () -> connections.bytesReceived(client), loop::earliestArrival);
         client.getSourceChannel().setConduit(filter);
         connections.opened(client, filter);
-        if (!lateRequests.watch(client, filter)) {
+        if (!lateRequests.interceptLateRequests(client, filter)) {
             http.handleEvent(client);
         }
     }
@@ -146,7 +146,7 @@
      * ones.
      */
     public void keepConnections() {
-        connections.keepSurplus();
+        connections.keepSurplusConnections();
     }
 
     /** Rejects the queued requests and all that are read from now on. */
--- a/daemon/src/main/java/portrelay/net/client/ClientListener.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientListener.java
@@ -24,9 +24,9 @@
     /** Number of connections accepted above the limit; for each, one of the open connections is evicted. */
     private static final int CONNECTIONS_OVER_LIMIT = 8;
     /** Maximum number delivered in one turn of the loop, so that timers and other connections run in between. */
-    private static final int MAX_PER_TURN = 64;
+    private static final int MAX_DELIVERIES_PER_TURN = 64;
     /** Number delivered in a turn regardless of how long that takes. */
-    private static final int MIN_PER_TURN = 8;
+    private static final int MIN_DELIVERIES_PER_TURN = 8;
     /** Above the minimum, a turn ends after this time: with cold code or little CPU each connection takes long. */
     private static final double MAX_TURN_SECONDS = 0.01;
 
@@ -36,7 +36,7 @@
     private static final int MAX_ACCEPT_FAILURES = 64;
 
     private final Log log;
-    private final Consumer<StreamConnection> accepted;
+    private final Consumer<StreamConnection> connectionReceiver;
     private final Runnable freeDescriptors;
     private final EventLoop loop;
     /** Connections accepted when the socket was closed and not delivered yet. */
@@ -45,13 +45,13 @@
     private SharedListener listener;
 
     /**
-     * @param accepted receives each accepted connection
+     * @param connectionReceiver receives each accepted connection
      * @param freeDescriptors called when an accept fails, for example for lack of file descriptors
      */
-    ClientListener(EventLoop loop, Log log, Consumer<StreamConnection> accepted, Runnable freeDescriptors) {
+    ClientListener(EventLoop loop, Log log, Consumer<StreamConnection> connectionReceiver, Runnable freeDescriptors) {
         this.loop = loop;
         this.log = log;
-        this.accepted = accepted;
+        this.connectionReceiver = connectionReceiver;
         this.freeDescriptors = freeDescriptors;
     }
 
@@ -61,10 +61,10 @@
      * @param maxClients maximum number of open connections; {@link #CONNECTIONS_OVER_LIMIT} more are accepted
      * @throws IOException if the address can't be bound
      */
-    void listen(XnioWorker worker, InetSocketAddress at, int maxClients) throws IOException {
+    void listen(XnioWorker worker, InetSocketAddress address, int maxClients) throws IOException {
         listener = SharedListener.listen(
                 worker,
-                at,
+                address,
                 BACKLOG,
                 this::acceptAvailable,
                 OptionMap.builder()
@@ -93,13 +93,13 @@
         return listener.socket().getLocalAddress(InetSocketAddress.class);
     }
 
-    private void acceptAvailable(AcceptingChannel<StreamConnection> from) {
+    private void acceptAvailable(AcceptingChannel<StreamConnection> channel) {
         try {
             double startedAt = loop.now();
-            StreamConnection client = from.accept();
+            StreamConnection client = channel.accept();
             for (int count = 1; client != null; count++) {
-                accepted.accept(client);
-                client = isTurnOver(count, startedAt) ? null : from.accept();
+                connectionReceiver.accept(client);
+                client = isTurnOver(count, startedAt) ? null : channel.accept();
             }
         } catch (IOException e) {
             logFailure(e);
@@ -123,7 +123,7 @@
         listener.stopPolling();
         acceptQueued();
         listener.close();
-        handOnPending();
+        deliverPending();
     }
 
     /** As {@link #close}, but also closes the connections that have not been delivered. */
@@ -139,18 +139,19 @@
     }
 
     /** Delivers in several turns: handling a long queue at once would delay every timer of the shutdown. */
-    private void handOnPending() {
+    private void deliverPending() {
         double startedAt = loop.now();
         for (int count = 0; !isTurnOver(count, startedAt) && !pending.isEmpty(); count++) {
-            accepted.accept(pending.remove());
+            connectionReceiver.accept(pending.remove());
         }
         if (!pending.isEmpty()) {
-            loop.afterPoll(this::handOnPending);
+            loop.afterPoll(this::deliverPending);
         }
     }
 
-    private boolean isTurnOver(int handedOn, double startedAt) {
-        return handedOn >= MAX_PER_TURN || handedOn >= MIN_PER_TURN && loop.now() > startedAt + MAX_TURN_SECONDS;
+    private boolean isTurnOver(int deliveredCount, double startedAt) {
+        return deliveredCount >= MAX_DELIVERIES_PER_TURN
+                || deliveredCount >= MIN_DELIVERIES_PER_TURN && loop.now() > startedAt + MAX_TURN_SECONDS;
     }
 
     /**
--- a/daemon/src/main/java/portrelay/net/client/ClientResponder.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientResponder.java
@@ -29,8 +29,8 @@
     private final RequestDispatcher dispatcher;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
-    private final String clientsId;
-    private final RequestId id;
+    private final String clientRequestId;
+    private final RequestId uniqueId;
     /** The streamed body; null if the body was read before the request was dispatched. */
     private final RequestBody requestBody;
 
@@ -38,8 +38,8 @@
     private boolean isOver;
 
     /**
-     * @param clientsId the id that the client gave
-     * @param id the unique id by which the decisions identify the request
+     * @param clientRequestId the id that the client gave
+     * @param uniqueId the unique id by which the decisions identify the request
      * @param requestBody a long body that is still being received, or null
      */
     ClientResponder(
@@ -49,8 +49,8 @@
             ResponseWriter responses,
             RequestDispatcher dispatcher,
             HttpServerExchange exchange,
-            String clientsId,
-            RequestId id,
+            String clientRequestId,
+            RequestId uniqueId,
             RequestBody requestBody) {
         this.loop = loop;
         this.log = log;
@@ -59,15 +59,15 @@
         this.dispatcher = dispatcher;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
-        this.clientsId = clientsId;
-        this.id = id;
+        this.clientRequestId = clientRequestId;
+        this.uniqueId = uniqueId;
         this.requestBody = requestBody;
         this.watch = new ClientWatch(connections, connection, this::clientLeft);
     }
 
     /** Returns the id that the client gave. */
-    String clientsId() {
-        return clientsId;
+    String clientRequestId() {
+        return clientRequestId;
     }
 
     /** Returns the client's address, or null if the connection is not a socket, as in the warm-up. */
@@ -89,7 +89,7 @@
     public boolean isOver() {
         if (!isOver && watch.isStarted()) {
             watch.readToEnd();
-        } else if (!isOver && connections.hasEnded(connection)) {
+        } else if (!isOver && connections.hasClientClosed(connection)) {
             clientLeft();
         }
         return isOver;
@@ -121,9 +121,9 @@
             return;
         }
         end();
-        dispatcher.clientLeft(id);
+        dispatcher.clientLeft(uniqueId);
         if (isTooLong) {
-            responses.rejectAndClose(exchange, RequestReader.tooLong());
+            responses.rejectAndClose(exchange, RequestReader.bodyTooLong());
         } else {
             connections.close(connection, RequestProgress.EndCause.BODY_BROKE_OFF);
         }
@@ -142,7 +142,7 @@
         }
         HeaderForwarding.copy(result.headers(), exchange.getResponseHeaders());
         if (remainder == null) {
-            responses.send(exchange, result.body(), unread());
+            responses.send(exchange, result.body(), unreadInput());
             return;
         }
         String length = result.headers().getFirst(Headers.CONTENT_LENGTH);
@@ -158,7 +158,7 @@
             if (retryAfterSeconds > 0) {
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterText(retryAfterSeconds));
             }
-            responses.send(exchange, HttpCall.NO_BODY, unread());
+            responses.send(exchange, HttpCall.NO_BODY, unreadInput());
         }
     }
 
@@ -170,7 +170,7 @@
     @Override
     public void failed() {
         if (beginResponse(StatusCodes.BAD_GATEWAY)) {
-            responses.send(exchange, HttpCall.NO_BODY, unread());
+            responses.send(exchange, HttpCall.NO_BODY, unreadInput());
         }
     }
 
@@ -201,16 +201,16 @@
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(status);
-        log.debug(() -> "request answered: request=" + Log.clean(clientsId) + " status=" + status + " keep-alive="
+        log.debug(() -> "request answered: request=" + Log.clean(clientRequestId) + " status=" + status + " keep-alive="
                 + exchange.isPersistent());
         return true;
     }
 
-    private ResponseWriter.Unread unread() {
+    private ResponseWriter.UnreadInput unreadInput() {
         if (watch.isDiscarding()) {
-            return ResponseWriter.Unread.BEHIND_REQUEST;
+            return ResponseWriter.UnreadInput.AFTER_REQUEST;
         }
-        return isBodyUnread() ? ResponseWriter.Unread.BODY : ResponseWriter.Unread.NOTHING;
+        return isBodyUnread() ? ResponseWriter.UnreadInput.BODY : ResponseWriter.UnreadInput.NOTHING;
     }
 
     private boolean isBodyUnread() {
@@ -219,13 +219,13 @@
 
     private void clientLeft() {
         end();
-        dispatcher.clientLeft(id);
+        dispatcher.clientLeft(uniqueId);
         connections.close(connection, RequestProgress.EndCause.CLIENT_LEFT);
     }
 
     private void end() {
         isOver = true;
         watch.stop();
-        dispatcher.ended(this);
+        dispatcher.responderEnded(this);
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/ClientWatch.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientWatch.java
@@ -71,7 +71,7 @@
     /** As {@link #read}, but continues where no more may be kept, as the end of the stream may follow. */
     void readToEnd() {
         if (readAhead.size() >= MAX_READ_AHEAD_BYTES) {
-            discard();
+            startDiscarding();
         }
         read();
     }
@@ -91,7 +91,7 @@
                 if (isDiscarding) {
                     continue;
                 }
-                keep(buffer.flip());
+                appendReadAhead(buffer.flip());
                 if (isReadAheadFull()) {
                     source.suspendReads();
                     return;
@@ -99,7 +99,7 @@
             }
         } catch (RequestFramingFilter.MalformedFramingException e) {
             // Not a request, but its sender is still connected until the end of the stream follows.
-            discard();
+            startDiscarding();
             read(source);
         } catch (IOException e) {
             clientLeft.run();
@@ -110,13 +110,13 @@
         return !isDiscarding && readAhead.size() >= MAX_READ_AHEAD_BYTES;
     }
 
-    private void keep(ByteBuffer bytes) {
+    private void appendReadAhead(ByteBuffer bytes) {
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
         readAhead.writeBytes(copy);
     }
 
-    private void discard() {
+    private void startDiscarding() {
         isDiscarding = true;
         readAhead.reset();
         connections.stopParsing(connection);
--- a/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
@@ -19,7 +19,7 @@
     private static final int MAX_READS_PER_TURN = 64;
 
     /** Longest time for which the rest of a body, or the bytes after a malformed request, are discarded. */
-    private static final double MAX_DISCARD_SECONDS = LingeringClose.BRIEF.maxTotal();
+    private static final double MAX_DISCARD_SECONDS = LingeringClose.BRIEF.maxTotalSeconds();
 
     private final EventLoop loop;
     private final LateRequestRejecter rejecter;
@@ -58,7 +58,7 @@
     /** Takes over all reading from and writing to the connection. */
     void takeOver() {
         filter.stopIntercepting();
-        answeredMessages = filter.messages();
+        answeredMessages = filter.messageCount();
         socket.getSinkChannel().setConduit(sink);
         ConduitStreamSourceChannel source = socket.getSourceChannel();
         source.setConduit(filter);
@@ -74,12 +74,12 @@
         try {
             int count = 1;
             for (int reads = 0; reads < MAX_READS_PER_TURN && count > 0; reads++) {
-                boolean isFirstRead = filter.isBetweenMessages() && filter.messages() == answeredMessages;
+                boolean isAtMessageStart = filter.isBetweenMessages() && filter.messageCount() == answeredMessages;
                 ByteBuffer bytes = rejecter.readBuffer();
                 count = source.read(bytes);
-                isReadinessRequest |= isFirstRead && LateRequestRejecter.isReadinessRequest(bytes.flip());
+                isReadinessRequest |= isAtMessageStart && LateRequestRejecter.isReadinessRequest(bytes.flip());
             }
-            answer(isReadinessRequest);
+            answerRequests(isReadinessRequest);
             if (count < 0) {
                 close();
             }
@@ -91,18 +91,18 @@
     }
 
     /** Answers the complete requests, and one that can't be completed without reading its body. */
-    private void answer(boolean isReadinessRequest) throws IOException {
+    private void answerRequests(boolean isReadinessRequest) throws IOException {
         boolean isInBody = !filter.isBetweenMessages() && !filter.isInHead();
-        int count = filter.messages() - answeredMessages + (isInBody ? 1 : 0);
+        int count = filter.messageCount() - answeredMessages + (isInBody ? 1 : 0);
         if (isDiscarding) {
-            closeBehindBody();
+            closeAfterBody();
         } else if (count > 0) {
             answeredMessages += count;
             boolean isLast = isInBody || filter.isBetweenMessages();
             isDiscarding = isLast;
             boolean isReadiness = isReadinessRequest && count == 1 && isLast;
-            write(isReadiness ? rejecter.notReady() : rejecter.responses(count, isLast));
-            discardBody(isInBody);
+            write(isReadiness ? rejecter.notReadyResponse() : rejecter.rejections(count, isLast));
+            discardBodyThenClose(isInBody);
         }
     }
 
@@ -113,8 +113,8 @@
         }
         isDiscarding = true;
         try {
-            write(rejecter.malformed(filter.messages() - answeredMessages));
-            discardBody(true);
+            write(rejecter.malformedResponses(filter.messageCount() - answeredMessages));
+            discardBodyThenClose(true);
         } catch (IOException e) {
             close();
         }
@@ -124,18 +124,18 @@
      * Once the last response has been given, limits the time for which the rest of the body is discarded; without a
      * body the connection is closed as soon as the response is written.
      */
-    private void discardBody(boolean hasBody) throws IOException {
+    private void discardBodyThenClose(boolean hasBody) throws IOException {
         if (!isDiscarding) {
             return;
         }
         if (hasBody) {
             loop.schedule(MAX_DISCARD_SECONDS, this::close);
         } else {
-            closeBehindBody();
+            closeAfterBody();
         }
     }
 
-    private void closeBehindBody() {
+    private void closeAfterBody() {
         if (unsent == null && filter.isBetweenMessages()) {
             close();
         }
@@ -147,12 +147,12 @@
         if (bytes.hasRemaining()) {
             unsent = bytes;
             socket.getSourceChannel().suspendReads();
-            channel.setWriteListener(ignored -> writeRest());
+            channel.setWriteListener(ignored -> writeRemaining());
             channel.resumeWrites();
         }
     }
 
-    private void writeRest() {
+    private void writeRemaining() {
         try {
             socket.getSinkChannel().write(unsent);
             if (unsent.hasRemaining()) {
@@ -162,7 +162,7 @@
             socket.getSinkChannel().suspendWrites();
             socket.getSourceChannel().resumeReads();
             if (isDiscarding) {
-                closeBehindBody();
+                closeAfterBody();
             }
         } catch (IOException e) {
             close();
@@ -170,6 +170,6 @@
     }
 
     private void close() {
-        connections.closeAnswered(socket);
+        connections.closeAfterLastResponse(socket);
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestRejecter.java
@@ -15,10 +15,10 @@
  */
 final class LateRequestRejecter {
 
-    private static final String REJECTED = "HTTP/1.1 429 Too Many Requests\r\n";
-    private static final String NOT_READY = "HTTP/1.1 503 Service Unavailable\r\n";
-    private static final String MALFORMED = "HTTP/1.1 400 Bad Request\r\n";
-    private static final String CLOSES = "Connection: close\r\n";
+    private static final String REJECTED_STATUS_LINE = "HTTP/1.1 429 Too Many Requests\r\n";
+    private static final String NOT_READY_STATUS_LINE = "HTTP/1.1 503 Service Unavailable\r\n";
+    private static final String MALFORMED_STATUS_LINE = "HTTP/1.1 400 Bad Request\r\n";
+    private static final String CONNECTION_CLOSE = "Connection: close\r\n";
     private static final String NO_BODY = "Content-Length: 0\r\n\r\n";
     private static final String READINESS_REQUEST = "GET " + WireNames.READINESS_PATH + " ";
     private static final int READ_BYTES = 4 * 1024;
@@ -28,8 +28,8 @@
     private final Shutdown shutdown;
     private final byte[] rejection;
     private final byte[] lastRejection;
-    private final byte[] notReady = (NOT_READY + CLOSES + NO_BODY).getBytes(ISO_8859_1);
-    private final byte[] malformed = (MALFORMED + CLOSES + NO_BODY).getBytes(ISO_8859_1);
+    private final byte[] notReady = (NOT_READY_STATUS_LINE + CONNECTION_CLOSE + NO_BODY).getBytes(ISO_8859_1);
+    private final byte[] malformed = (MALFORMED_STATUS_LINE + CONNECTION_CLOSE + NO_BODY).getBytes(ISO_8859_1);
     /** Shared by all connections, one read at a time; holds nothing between reads. */
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BYTES);
 
@@ -43,8 +43,8 @@
         String retryAfter = retryAfterSeconds > 0
                 ? "Retry-After: " + ClientResponder.retryAfterText(retryAfterSeconds) + "\r\n"
                 : "";
-        rejection = (REJECTED + retryAfter + NO_BODY).getBytes(ISO_8859_1);
-        lastRejection = (REJECTED + CLOSES + retryAfter + NO_BODY).getBytes(ISO_8859_1);
+        rejection = (REJECTED_STATUS_LINE + retryAfter + NO_BODY).getBytes(ISO_8859_1);
+        lastRejection = (REJECTED_STATUS_LINE + CONNECTION_CLOSE + retryAfter + NO_BODY).getBytes(ISO_8859_1);
     }
 
     /**
@@ -54,13 +54,13 @@
      *
      * @return whether the connection has been taken over
      */
-    boolean watch(StreamConnection socket, RequestFramingFilter filter) {
+    boolean interceptLateRequests(StreamConnection socket, RequestFramingFilter filter) {
         LateRequestConnection connection = new LateRequestConnection(loop, this, connections, socket, filter);
         if (isTooLate()) {
             connection.takeOver();
             return true;
         }
-        filter.interceptRequests(() -> intercepts(connection));
+        filter.interceptRequests(() -> interceptIfTooLate(connection));
         return false;
     }
 
@@ -74,7 +74,7 @@
      *
      * @param isLast whether the connection ends after the last of them
      */
-    ByteBuffer responses(int count, boolean isLast) {
+    ByteBuffer rejections(int count, boolean isLast) {
         ByteBuffer responses = ByteBuffer.allocate(count * lastRejection.length);
         for (int i = 1; i < count; i++) {
             responses.put(rejection);
@@ -84,13 +84,14 @@
     }
 
     /** Returns the encoded response to a readiness request; it ends the connection. */
-    ByteBuffer notReady() {
+    ByteBuffer notReadyResponse() {
         return ByteBuffer.wrap(notReady);
     }
 
     /** Returns the encoded responses to a malformed request and to the complete requests before it. */
-    ByteBuffer malformed(int completeBefore) {
-        ByteBuffer before = completeBefore > 0 ? responses(completeBefore, false) : ByteBuffer.allocate(0);
+    ByteBuffer malformedResponses(int completeRequestsBefore) {
+        ByteBuffer before =
+                completeRequestsBefore > 0 ? rejections(completeRequestsBefore, false) : ByteBuffer.allocate(0);
         return ByteBuffer.allocate(before.remaining() + malformed.length)
                 .put(before)
                 .put(malformed)
@@ -125,7 +126,7 @@
      * Called within a read by Undertow, which sets its own read listener afterwards; the takeover therefore runs in a
      * separate task.
      */
-    private boolean intercepts(LateRequestConnection connection) {
+    private boolean interceptIfTooLate(LateRequestConnection connection) {
         if (!isTooLate() || !connection.awaitsRequest()) {
             return false;
         }
--- a/daemon/src/main/java/portrelay/net/client/LingeringClose.java
+++ b/daemon/src/main/java/portrelay/net/client/LingeringClose.java
@@ -23,15 +23,15 @@
     /**
      * Limits of the time for which bytes are discarded, in seconds.
      *
-     * @param maxSilence longest time without a byte
-     * @param maxTotal longest time in total
+     * @param maxSilenceSeconds longest time without a byte
+     * @param maxTotalSeconds longest time in total
      */
-    record Patience(double maxSilence, double maxTotal) {}
+    record DiscardLimits(double maxSilenceSeconds, double maxTotalSeconds) {}
 
     /** Limits after a malformed request, whose sender may never stop sending. */
-    public static final Patience BRIEF = new Patience(0.5, 0.5);
+    public static final DiscardLimits BRIEF = new DiscardLimits(0.5, 0.5);
     /** Limits for the rest of a well-formed body: a slow client reads its response only after sending the last byte. */
-    static final Patience FOR_THE_BODY = new Patience(2.5, 10);
+    static final DiscardLimits REMAINING_BODY = new DiscardLimits(2.5, 10);
 
     private static final double CHECK_INTERVAL_SECONDS = 0.25;
     /** Maximum number of reads in one turn of the loop, so that other tasks run in between. */
@@ -42,15 +42,15 @@
     private final EventLoop loop;
     private final ClientConnections connections;
     private final boolean lingersAfterCompleteRequest;
-    private final Patience patience;
+    private final DiscardLimits limits;
 
     /** @param lingersAfterCompleteRequest whether to linger even if the request was read completely */
     public LingeringClose(
-            EventLoop loop, ClientConnections connections, boolean lingersAfterCompleteRequest, Patience patience) {
+            EventLoop loop, ClientConnections connections, boolean lingersAfterCompleteRequest, DiscardLimits limits) {
         this.loop = loop;
         this.connections = connections;
         this.lingersAfterCompleteRequest = lingersAfterCompleteRequest;
-        this.patience = patience;
+        this.limits = limits;
     }
 
     @Override
@@ -103,7 +103,7 @@
             source.setConduit(connection.getOriginalSourceConduit());
             source.setReadListener(this::discard);
             source.resumeReads();
-            checkPatience();
+            checkLimits();
         }
 
         private void discard(ConduitStreamSourceChannel source) {
@@ -121,12 +121,12 @@
             }
         }
 
-        private void checkPatience() {
+        private void checkLimits() {
             if (!connection.isOpen()) {
                 return;
             }
             double now = loop.now();
-            if (now >= lastByteAt + patience.maxSilence || now >= startedAt + patience.maxTotal) {
+            if (now >= lastByteAt + limits.maxSilenceSeconds || now >= startedAt + limits.maxTotalSeconds) {
                 close(connection);
                 return;
             }
@@ -134,7 +134,7 @@
                 // Restarts the phase: a client that still sends must not be evicted as one that does not read.
                 connections.phaseChanged(connection, ConnectionCapacity.Phase.ANSWERING);
             }
-            loop.schedule(CHECK_INTERVAL_SECONDS, this::checkPatience);
+            loop.schedule(CHECK_INTERVAL_SECONDS, this::checkLimits);
         }
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
@@ -36,7 +36,7 @@
     /** The requests that wait for a response, by the ids that their clients gave. */
     private final Map<String, ClientResponder> pending = new HashMap<>();
 
-    private long dispatched;
+    private long dispatchedCount;
     private int rejectedDuringShutdown;
 
     RequestDispatcher(
@@ -84,21 +84,21 @@
             return;
         }
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-        String clientsId = arrival.id().value();
+        String clientRequestId = arrival.id().value();
         // A unique id: late events of a request that its client gave up must not be attributed to the client's retry,
         // which may carry the same id.
-        RequestArrival unique = arrival.withId(new RequestId(clientsId + " " + ++dispatched));
+        RequestArrival uniqueArrival = arrival.withId(new RequestId(clientRequestId + " " + ++dispatchedCount));
         ClientResponder responder = new ClientResponder(
-                loop, log, connections, responses, this, exchange, clientsId, unique.id(), requestBody);
+                loop, log, connections, responses, this, exchange, clientRequestId, uniqueArrival.id(), requestBody);
         connections.phaseChanged(connection, ConnectionCapacity.Phase.ASKED);
-        connections.requestBegan(connection, clientsId, exchange::getResponseBytesSent);
-        if (rejectIfNotForwardable(exchange, responder, unique)) {
+        connections.requestBegan(connection, clientRequestId, exchange::getResponseBytesSent);
+        if (rejectIfNotForwardable(exchange, responder, uniqueArrival)) {
             return;
         }
-        pending.put(clientsId, responder);
-        log.debug(() -> takenLine(clientsId, connection, unique));
+        pending.put(clientRequestId, responder);
+        log.debug(() -> requestTakenLogLine(clientRequestId, connection, uniqueArrival));
         IncomingRequest incoming = new IncomingRequest(
-                unique,
+                uniqueArrival,
                 exchange.getRequestMethod(),
                 target(exchange),
                 exchange.getRequestHeaders(),
@@ -114,11 +114,11 @@
     private RequestArrival readArrival(HttpServerExchange exchange, byte[] body, RequestBody requestBody)
             throws MalformedRequestException {
         boolean isStreamed = requestBody != null;
-        double since = connections.earliestArrival((HttpServerConnection) exchange.getConnection());
+        double arrivedAt = connections.earliestArrival((HttpServerConnection) exchange.getConnection());
         RequestArrival arrival =
-                reader.read(exchange, isStreamed || body.length > 0, isStreamed, since, shutdown.answerDeadline());
-        ClientResponder open = pending.get(arrival.id().value());
-        if (open != null && !open.isOver()) {
+                reader.read(exchange, isStreamed || body.length > 0, isStreamed, arrivedAt, shutdown.answerDeadline());
+        ClientResponder openResponder = pending.get(arrival.id().value());
+        if (openResponder != null && !openResponder.isOver()) {
             throw new MalformedRequestException(StatusCodes.CONFLICT, "a query of this id is open");
         }
         return arrival;
@@ -133,7 +133,7 @@
     /** Rejects the request and returns true if it must not reach admission; no attempt has been made in that case. */
     private boolean rejectIfNotForwardable(
             HttpServerExchange exchange, ClientResponder responder, RequestArrival arrival) {
-        if (connections.isFullOfRequests()) {
+        if (connections.exceedsRequestCapacity()) {
             // There is no connection left to evict.
             counters.countRejectedForCapacity();
             exchange.setPersistent(false);
@@ -154,18 +154,19 @@
      * Returns the first of the two debug lines of each request; the second reports the response or the end of the
      * connection.
      */
-    private String takenLine(String clientsId, HttpServerConnection connection, RequestArrival arrival) {
+    private String requestTakenLogLine(
+            String clientRequestId, HttpServerConnection connection, RequestArrival arrival) {
         return String.format(
                 Locale.ROOT,
                 "request taken: request=%s connection=%s left=%.3f",
-                Log.clean(clientsId),
+                Log.clean(clientRequestId),
                 connection.getPeerAddress(),
                 arrival.deadline() - loop.now());
     }
 
     /** Removes a request whose response has begun or whose client no longer waits for one. */
-    void ended(ClientResponder responder) {
-        pending.remove(responder.clientsId(), responder);
+    void responderEnded(ClientResponder responder) {
+        pending.remove(responder.clientRequestId(), responder);
     }
 
     /** Reports to admission that the client left before the response began. */
--- a/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
@@ -32,9 +32,9 @@
 
     private final Framing framing = Framing.ofRequests();
     private final Runnable bytesReceived;
-    private final DoubleSupplier clock;
+    private final DoubleSupplier arrivalClock;
     /** When each request was complete: first the one being handled, then the pipelined ones. */
-    private final Deque<Double> completedAt = new ArrayDeque<>();
+    private final Deque<Double> completionTimes = new ArrayDeque<>();
     /** Bytes read ahead by a peek; null if there are none. */
     private ByteBuffer peeked;
 
@@ -44,17 +44,17 @@
     private boolean isIntercepted;
 
     private boolean isParsing = true;
-    private long bytes;
+    private long bytesRead;
     private int requestsStarted;
 
     /**
      * @param bytesReceived called whenever bytes have been read
-     * @param clock returns the earliest time at which bytes that are read now may have arrived, in seconds
+     * @param arrivalClock returns the earliest time at which bytes that are read now may have arrived, in seconds
      */
-    public RequestFramingFilter(StreamSourceConduit next, Runnable bytesReceived, DoubleSupplier clock) {
+    public RequestFramingFilter(StreamSourceConduit next, Runnable bytesReceived, DoubleSupplier arrivalClock) {
         super(next);
         this.bytesReceived = bytesReceived;
-        this.clock = clock;
+        this.arrivalClock = arrivalClock;
     }
 
     /**
@@ -76,7 +76,7 @@
         }
         int start = target.position();
         int count = peeked == null ? next.read(target) : takePeeked(target);
-        bytes += Math.max(0, count);
+        bytesRead += Math.max(0, count);
         if (count <= 0 || !isParsing) {
             return count;
         }
@@ -129,31 +129,31 @@
     }
 
     /** Returns the number of requests that have been read completely. */
-    int messages() {
+    int messageCount() {
         return framing.messages();
     }
 
     /** Records that the next request is being handled; drops the completion time of the one before. */
     void nextRequestStarted() {
         if (requestsStarted > 0) {
-            completedAt.pollFirst();
+            completionTimes.pollFirst();
         }
         requestsStarted++;
     }
 
     /** Returns when the last byte of the request being handled was read; NaN while it is incomplete. */
     double completedAt() {
-        return completedAt.isEmpty() ? Double.NaN : completedAt.peekFirst();
+        return completionTimes.isEmpty() ? Double.NaN : completionTimes.peekFirst();
     }
 
     /** Whether the next read would return the end of the stream. */
-    boolean isAtEnd() throws IOException {
+    boolean isAtEndOfStream() throws IOException {
         return readPeeked() < 0;
     }
 
     /** Returns the number of bytes that have been read. */
-    long bytes() {
-        return bytes;
+    long bytesRead() {
+        return bytesRead;
     }
 
     /** Passes all further bytes on unparsed; the reader discards them and waits for the end of the stream. */
@@ -175,7 +175,7 @@
             framing.follow(unparsed);
         }
         for (int i = messagesBefore; i < framing.messages(); i++) {
-            completedAt.addLast(clock.getAsDouble());
+            completionTimes.addLast(arrivalClock.getAsDouble());
         }
         return unparsed.position();
     }
--- a/daemon/src/main/java/portrelay/net/client/RequestHandler.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestHandler.java
@@ -100,7 +100,7 @@
             // Dispatched: Undertow ends an exchange whose handler returns without a response or a dispatch.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> collectChunked(exchange));
         } else if (length > HttpCall.MAX_BUFFERED_BODY) {
-            stream(exchange, exchange.getRequestChannel(), HttpCall.NO_BODY, length);
+            dispatchStreamed(exchange, exchange.getRequestChannel(), HttpCall.NO_BODY, length);
         } else {
             exchange.getRequestReceiver()
                     .receiveFullBytes(
@@ -119,7 +119,7 @@
 
                     @Override
                     public void exceedsBuffer(byte[] beginning) {
-                        stream(exchange, source, beginning, -1);
+                        dispatchStreamed(exchange, source, beginning, -1);
                     }
 
                     @Override
@@ -131,7 +131,8 @@
     }
 
     /** Dispatches a request whose body is forwarded while it is received; {@code beginning} has been read already. */
-    private void stream(HttpServerExchange exchange, StreamSourceChannel source, byte[] beginning, long length) {
+    private void dispatchStreamed(
+            HttpServerExchange exchange, StreamSourceChannel source, byte[] beginning, long length) {
         ByteBufferPool pool = exchange.getConnection().getByteBufferPool();
         dispatcher.dispatch(exchange, HttpCall.NO_BODY, new RequestBody(loop, pool, source, beginning, length));
     }
--- a/daemon/src/main/java/portrelay/net/client/RequestProgress.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestProgress.java
@@ -44,23 +44,23 @@
         lastSentAt = now;
     }
 
-    void received(double now) {
+    void bytesReceived(double now) {
         lastReceivedAt = now;
     }
 
-    void sent(double now) {
+    void bytesSent(double now) {
         lastSentAt = now;
     }
 
     /** Records the cause of the end; only the first one counts, as later ones are its effects. */
-    void endsBy(EndCause endCause) {
+    void recordEndCause(EndCause endCause) {
         if (cause == EndCause.UNKNOWN) {
             cause = endCause;
         }
     }
 
     /** Returns the log line; its times are seconds since the last byte in and out, or since the request began. */
-    String line(ConnectionCapacity.Phase phase, long bytesIn, double now) {
+    String logLine(ConnectionCapacity.Phase phase, long bytesIn, double now) {
         return String.format(
                 Locale.ROOT,
                 "client connection ended with a request open: request=%s phase=%s cause=%s"
--- a/daemon/src/main/java/portrelay/net/client/RequestReader.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestReader.java
@@ -51,8 +51,8 @@
      */
     long checkFraming(HttpServerExchange exchange) throws MalformedRequestException {
         HeaderMap headers = exchange.getRequestHeaders();
-        String length = single(headers, Headers.CONTENT_LENGTH);
-        String coding = single(headers, Headers.TRANSFER_ENCODING);
+        String length = singleValue(headers, Headers.CONTENT_LENGTH);
+        String coding = singleValue(headers, Headers.TRANSFER_ENCODING);
         if (coding != null && (length != null || !coding.equalsIgnoreCase("chunked"))) {
             throw new MalformedRequestException(StatusCodes.BAD_REQUEST, Headers.TRANSFER_ENCODING.toString());
         }
@@ -64,13 +64,13 @@
             throw new MalformedRequestException(StatusCodes.BAD_REQUEST, "Content-Length");
         }
         if (bytes > HttpCall.MAX_BODY) {
-            throw tooLong();
+            throw bodyTooLong();
         }
         return bytes;
     }
 
     /** Returns the rejection of a body of more than {@link HttpCall#MAX_BODY} bytes. */
-    static MalformedRequestException tooLong() {
+    static MalformedRequestException bodyTooLong() {
         String message = "body over " + HttpCall.MAX_BODY + " bytes";
         return new MalformedRequestException(StatusCodes.REQUEST_ENTITY_TOO_LARGE, message);
     }
@@ -80,11 +80,11 @@
      *
      * @param hasBody whether the body has any bytes
      * @param isStreamed whether the body is forwarded while it is received, so that it can be sent only once
-     * @param since when the request arrived; the time that the client gave counts from here
+     * @param arrivedAt when the request arrived; the time that the client gave counts from here
      * @param latestDeadline the latest time at which the process can answer; the request's deadline is not later
      */
     RequestArrival read(
-            HttpServerExchange exchange, boolean hasBody, boolean isStreamed, double since, double latestDeadline)
+            HttpServerExchange exchange, boolean hasBody, boolean isStreamed, double arrivedAt, double latestDeadline)
             throws MalformedRequestException {
         HeaderMap headers = exchange.getRequestHeaders();
         RequestId id = readId(headers);
@@ -93,15 +93,15 @@
         checkMethod(requestClass, exchange.getRequestMethod(), headers, hasBody);
         TenantId tenant = readTenant(headers);
         double timeLeft = readTimeLeft(headers, requestClass);
-        boolean isRetriedByClient = WireNames.TRUE.equals(single(headers, WireNames.RETRIED_BY_CLIENT));
-        double deadline = Math.min(since + timeLeft, latestDeadline);
+        boolean isRetriedByClient = WireNames.TRUE.equals(singleValue(headers, WireNames.RETRIED_BY_CLIENT));
+        double deadline = Math.min(arrivedAt + timeLeft, latestDeadline);
         return new RequestArrival(id, classId, tenant, null, deadline, Double.NaN, isRetriedByClient, isStreamed);
     }
 
     private static RequestId readId(HeaderMap headers) throws MalformedRequestException {
-        String id = single(headers, WireNames.REQUEST_ID);
+        String id = singleValue(headers, WireNames.REQUEST_ID);
         if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
-            throw missing(WireNames.REQUEST_ID);
+            throw missingHeader(WireNames.REQUEST_ID);
         }
         return new RequestId(id);
     }
@@ -109,7 +109,7 @@
     /** Reads the request class, which a header and the first segment of the path both name; they must agree. */
     private RequestClassId readRequestClass(HttpServerExchange exchange, HeaderMap headers)
             throws MalformedRequestException {
-        String name = single(headers, WireNames.REQUEST_CLASS);
+        String name = singleValue(headers, WireNames.REQUEST_CLASS);
         RequestClassId id = name == null ? null : settings.requestClass(name);
         if (id == null || !name.equals(firstSegment(HeaderForwarding.path(exchange)))) {
             throw new MalformedRequestException(
@@ -119,20 +119,20 @@
     }
 
     private TenantId readTenant(HeaderMap headers) throws MalformedRequestException {
-        String name = single(headers, WireNames.TENANT);
+        String name = singleValue(headers, WireNames.TENANT);
         TenantId tenant = name == null ? null : settings.tenant(name);
         if (settings.hasTenants() && tenant == null) {
-            throw missing(WireNames.TENANT);
+            throw missingHeader(WireNames.TENANT);
         }
         return tenant;
     }
 
     /** Returns the seconds for which the client waits, at most the deadline of the request class. */
     private static double readTimeLeft(HeaderMap headers, RequestClass requestClass) throws MalformedRequestException {
-        String text = single(headers, WireNames.DEADLINE_MS);
+        String text = singleValue(headers, WireNames.DEADLINE_MS);
         int millis = text == null ? -1 : parseNumber(text);
         if (millis <= 0) {
-            throw missing(WireNames.DEADLINE_MS);
+            throw missingHeader(WireNames.DEADLINE_MS);
         }
         double max = requestClass.deadline() > 0 ? requestClass.deadline() : Double.POSITIVE_INFINITY;
         return Math.max(Math.min(millis / MILLIS_PER_SECOND - NETWORK_MARGIN_SECONDS, max), MIN_TIME_LEFT_SECONDS);
@@ -148,17 +148,17 @@
             throw new MalformedRequestException(StatusCodes.BAD_REQUEST, "the offering takes no body");
         }
         boolean isKeyed = requestClass.idempotency() == RequestClass.Idempotency.KEYED;
-        if (isKeyed && single(headers, WireNames.IDEMPOTENCY_KEY) == null) {
-            throw missing(WireNames.IDEMPOTENCY_KEY);
+        if (isKeyed && singleValue(headers, WireNames.IDEMPOTENCY_KEY) == null) {
+            throw missingHeader(WireNames.IDEMPOTENCY_KEY);
         }
     }
 
-    private static MalformedRequestException missing(HttpString header) {
+    private static MalformedRequestException missingHeader(HttpString header) {
         return new MalformedRequestException(StatusCodes.BAD_REQUEST, header + " is missing or not understood");
     }
 
     /** Returns the single value of a header, or null if it is absent; a repeated header is ambiguous and rejected. */
-    private static String single(HeaderMap headers, HttpString name) throws MalformedRequestException {
+    private static String singleValue(HeaderMap headers, HttpString name) throws MalformedRequestException {
         HeaderValues values = headers.get(name);
         if (values == null) {
             return null;
--- a/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
@@ -13,13 +13,13 @@
 final class ResponseWriter {
 
     /** Bytes that may still arrive on a connection when its last response is written. */
-    enum Unread {
+    enum UnreadInput {
         /** Nothing of this request. */
         NOTHING,
         /** The rest of a well-formed body. */
         BODY,
         /** Bytes that the client sent after a complete request and that are discarded. */
-        BEHIND_REQUEST
+        AFTER_REQUEST
     }
 
     private final Log log;
@@ -34,7 +34,7 @@
         this.connections = connections;
         this.service = service;
         closeAfterMalformed = new LingeringClose(loop, connections, false, LingeringClose.BRIEF);
-        closeAfterBody = new LingeringClose(loop, connections, false, LingeringClose.FOR_THE_BODY);
+        closeAfterBody = new LingeringClose(loop, connections, false, LingeringClose.REMAINING_BODY);
         closeAfterComplete = new LingeringClose(loop, connections, true, LingeringClose.BRIEF);
     }
 
@@ -49,13 +49,13 @@
     }
 
     /** Sends the body of a response whose head is set. */
-    void send(HttpServerExchange exchange, byte[] body, Unread unread) {
-        if (unread == Unread.NOTHING) {
+    void send(HttpServerExchange exchange, byte[] body, UnreadInput unreadInput) {
+        if (unreadInput == UnreadInput.NOTHING) {
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
             return;
         }
         exchange.setResponseContentLength(body.length);
-        LingeringClose close = unread == Unread.BODY ? closeAfterBody : closeAfterComplete;
+        LingeringClose close = unreadInput == UnreadInput.BODY ? closeAfterBody : closeAfterComplete;
         exchange.getResponseSender().send(ByteBuffer.wrap(body), close);
     }
 
--- a/daemon/src/main/java/portrelay/net/client/ServiceState.java
+++ b/daemon/src/main/java/portrelay/net/client/ServiceState.java
@@ -13,9 +13,9 @@
 final class ServiceState {
 
     /** Time after the switch during which clients may still send, as they act on the readiness that they saw last. */
-    private static final double GRACE_SECONDS = 0.6;
+    private static final double OUT_OF_SERVICE_GRACE_SECONDS = 0.6;
     /** Idle time after which a connection is closed; a new one may be silent for as long. */
-    private static final double IDLE_SECONDS = 0.2;
+    private static final double MAX_IDLE_SECONDS = 0.2;
 
     private final EventLoop loop;
     private final ClientConnections connections;
@@ -24,7 +24,7 @@
     private boolean isReady;
     private boolean isInService = true;
     /** Number of the last switch; timers of earlier switches have no effect. */
-    private int generation;
+    private int switchNumber;
 
     ServiceState(EventLoop loop, ClientConnections connections, Shutdown shutdown) {
         this.loop = loop;
@@ -49,15 +49,15 @@
     void setInService(boolean inService) {
         if (inService != isInService) {
             isInService = inService;
-            int current = ++generation;
-            loop.schedule(GRACE_SECONDS, () -> closeIdle(current));
+            int current = ++switchNumber;
+            loop.schedule(OUT_OF_SERVICE_GRACE_SECONDS, () -> closeIdle(current));
         }
     }
 
     private void closeIdle(int scheduledFor) {
-        if (!isInService && scheduledFor == generation) {
-            connections.closeIdle(ConnectionCapacity.Cause.NOT_NEEDED, IDLE_SECONDS, Integer.MAX_VALUE);
-            loop.schedule(IDLE_SECONDS, () -> closeIdle(scheduledFor));
+        if (!isInService && scheduledFor == switchNumber) {
+            connections.closeIdle(ConnectionCapacity.Cause.NOT_NEEDED, MAX_IDLE_SECONDS, Integer.MAX_VALUE);
+            loop.schedule(MAX_IDLE_SECONDS, () -> closeIdle(scheduledFor));
         }
     }
 
--- a/daemon/src/test/java/portrelay/net/client/ClientListenerTest.java
+++ b/daemon/src/test/java/portrelay/net/client/ClientListenerTest.java
@@ -49,16 +49,16 @@
 
     private final BlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
     /** For each accepted connection, whether the kernel still let others connect when it was delivered. */
-    private final List<Boolean> letOthersIn = new ArrayList<>();
+    private final List<Boolean> couldOthersConnect = new ArrayList<>();
 
     private final List<Socket> clients = new ArrayList<>();
     private boolean isClosing;
-    private boolean isSlow;
+    private boolean isHandlingSlow;
     private XnioWorker worker;
     private ClientListener listener;
     private InetSocketAddress address;
 
-    private interface Task {
+    private interface LoopTask {
         void run() throws IOException;
     }
 
@@ -74,8 +74,8 @@
 
     @AfterEach
     void close() throws Exception {
-        for (Socket each : clients) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
         accepted.forEach(IoUtils::safeClose);
         worker.shutdownNow();
@@ -84,15 +84,15 @@
     private void accept(StreamConnection connection) {
         accepted.add(connection);
         long until = System.nanoTime() + SLOW_NANOS;
-        while (isSlow && System.nanoTime() < until) {
+        while (isHandlingSlow && System.nanoTime() < until) {
             Thread.onSpinWait();
         }
         if (isClosing) {
-            letOthersIn.add(letsIn());
+            couldOthersConnect.add(canConnect());
         }
     }
 
-    private boolean letsIn() {
+    private boolean canConnect() {
         try (Socket other = new Socket(address.getAddress(), address.getPort())) {
             return other.isConnected();
         } catch (IOException e) {
@@ -100,7 +100,7 @@
         }
     }
 
-    private void onLoop(Task task) throws Exception {
+    private void onLoop(LoopTask task) throws Exception {
         FutureTask<Void> done = new FutureTask<>(() -> {
             task.run();
             return null;
@@ -115,7 +115,7 @@
 
     /** Guards against time between the last accept and the close: a connection established meanwhile is reset. */
     @Test
-    void theQueueIsHandedOnOnceTheListenerIsClosed() throws Exception {
+    void queuedConnectionsAreDeliveredOnceTheListenerIsClosed() throws Exception {
         onLoop(() -> {
             for (int i = 0; i < QUEUED; i++) {
                 connect();
@@ -124,43 +124,43 @@
             listener.close();
         });
         assertEquals(QUEUED, accepted.size());
-        assertEquals(List.of(false, false, false), letOthersIn);
+        assertEquals(List.of(false, false, false), couldOthersConnect);
     }
 
     /** Guards against one long turn of the loop for the whole queue, in which no timer of the shutdown fires. */
     @Test
-    void aTimerThatIsDueFiresBeforeALongQueueIsHandedOn() throws Exception {
-        int handedOn = handedOnBeforeATimer();
-        assertTrue(handedOn <= MAX_BEFORE_TIMER, "connections delivered before the timer: " + handedOn);
+    void dueTimerFiresBeforeALongQueueIsDelivered() throws Exception {
+        int delivered = deliveredBeforeADueTimer();
+        assertTrue(delivered <= MAX_BEFORE_TIMER, "connections delivered before the timer: " + delivered);
     }
 
     @Test
-    void aTimerThatIsDueWaitsForFewConnectionsThatTakeLong() throws Exception {
-        isSlow = true;
-        int handedOn = handedOnBeforeATimer();
-        assertTrue(handedOn <= MAX_SLOW_BEFORE_TIMER, "connections delivered before the timer: " + handedOn);
+    void dueTimerWaitsForFewSlowlyHandledConnections() throws Exception {
+        isHandlingSlow = true;
+        int delivered = deliveredBeforeADueTimer();
+        assertTrue(delivered <= MAX_SLOW_BEFORE_TIMER, "connections delivered before the timer: " + delivered);
     }
 
     /**
      * Returns how many connections of a long queue are delivered after the close and before a timer that is due; waits
      * until all of them have been delivered.
      */
-    private int handedOnBeforeATimer() throws Exception {
-        CompletableFuture<Integer> handedOnByTimer = new CompletableFuture<>();
+    private int deliveredBeforeADueTimer() throws Exception {
+        CompletableFuture<Integer> deliveredWhenTimerFired = new CompletableFuture<>();
         onLoop(() -> {
             for (int i = 0; i < LONG_QUEUE; i++) {
                 connect();
             }
             worker.getIoThread()
-                    .executeAfter(() -> handedOnByTimer.complete(accepted.size()), 0, TimeUnit.MILLISECONDS);
+                    .executeAfter(() -> deliveredWhenTimerFired.complete(accepted.size()), 0, TimeUnit.MILLISECONDS);
             listener.close();
             assertEquals(LONG_QUEUE, accepted.size() + listener.pendingCount());
         });
-        int handedOn = handedOnByTimer.get();
+        int delivered = deliveredWhenTimerFired.get();
         for (int i = 0; i < LONG_QUEUE; i++) {
             assertNotNull(accepted.poll(5, TimeUnit.SECONDS), "connection not delivered: " + i);
         }
-        return handedOn;
+        return delivered;
     }
 
     @Test
@@ -172,12 +172,12 @@
             listener.closeNow();
         });
         assertEquals(0, listener.pendingCount());
-        for (Socket each : clients.subList(accepted.size(), LONG_QUEUE)) {
-            assertTrue(isEnded(each), "client connection still open");
+        for (Socket client : clients.subList(accepted.size(), LONG_QUEUE)) {
+            assertTrue(isClosed(client), "client connection still open");
         }
     }
 
-    private static boolean isEnded(Socket client) throws IOException {
+    private static boolean isClosed(Socket client) throws IOException {
         client.setSoTimeout(5000);
         try {
             return client.getInputStream().read() < 0;
--- a/daemon/src/test/java/portrelay/net/client/RequestProgressTest.java
+++ b/daemon/src/test/java/portrelay/net/client/RequestProgressTest.java
@@ -14,26 +14,26 @@
 class RequestProgressTest {
 
     @Test
-    void theLineNamesTheFirstCauseAndTheTimesSinceTheLastBytes() {
+    void logLineNamesTheFirstCauseAndTheTimesSinceTheLastBytes() {
         RequestProgress request = new RequestProgress("a\nb", () -> 70_000, 10);
-        request.received(10.5);
-        request.sent(12);
-        request.endsBy(RequestProgress.EndCause.UPSTREAM_BROKE_OFF);
-        request.endsBy(RequestProgress.EndCause.EVICTED);
+        request.bytesReceived(10.5);
+        request.bytesSent(12);
+        request.recordEndCause(RequestProgress.EndCause.UPSTREAM_BROKE_OFF);
+        request.recordEndCause(RequestProgress.EndCause.EVICTED);
         assertEquals(
                 "client connection ended with a request open: request=a?b phase=ASKED"
                         + " cause=UPSTREAM_BROKE_OFF since-in=2.500 since-out=1.000 bytes-in=132 bytes-out=70000",
-                request.line(ConnectionCapacity.Phase.ASKED, 132, 13));
+                request.logLine(ConnectionCapacity.Phase.ASKED, 132, 13));
     }
 
     @Test
-    void debugLinesAreWrittenOnlyWhereTheyAreWanted() {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        new Log(new PrintStream(said, true, UTF_8), "n", false).debug(() -> {
+    void debugLinesAreBuiltOnlyWhenDebugLoggingIsOn() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        new Log(new PrintStream(output, true, UTF_8), "n", false).debug(() -> {
             throw new AssertionError("debug line built although debug logging is off");
         });
-        assertEquals(0, said.size());
-        new Log(new PrintStream(said, true, UTF_8), "n", true).debug(() -> "seen");
-        assertTrue(said.toString(UTF_8).endsWith(" n debug seen" + System.lineSeparator()), said.toString(UTF_8));
+        assertEquals(0, output.size());
+        new Log(new PrintStream(output, true, UTF_8), "n", true).debug(() -> "seen");
+        assertTrue(output.toString(UTF_8).endsWith(" n debug seen" + System.lineSeparator()), output.toString(UTF_8));
     }
 }
