--- a/daemon/src/main/java/portrelay/net/client/ClientConnections.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnections.java
@@ -234,7 +234,10 @@
         }
     }
 
-    /** Closes the connection unless it has unread bytes, as a request among them would be lost. */
+    /**
+     * Closes the connection unless it has unread bytes, as a request among them would be lost. A client that has not
+     * read its response for too long is evicted even with unread bytes.
+     */
     private void evict(ConnectionCapacity.Eviction eviction) {
         ClientConnection connection = connections.get(eviction.id());
         StreamConnection socket = connection.socket;
