--- a/daemon/src/main/java/portrelay/net/client/ClientResponder.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientResponder.java
@@ -17,8 +17,8 @@
 import portrelay.net.upstream.IncomingRequest;
 
 /**
- * The client's side of one exchange: writes the one response, and notices when its client no longer waits for it. Over
- * as soon as the response begins or the client has left; what is called after that does nothing.
+ * The client's side of one exchange: writes the single response, and detects when the client no longer waits for it. It
+ * is over as soon as the response begins or the client has left; calls after that have no effect.
  */
 final class ClientResponder implements IncomingRequest.Responder, RequestBody.Listener {
 
@@ -29,18 +29,18 @@
     private final RequestDispatcher dispatcher;
     private final HttpServerExchange exchange;
     private final HttpServerConnection connection;
-    private final String clientsId;
-    private final RequestId id;
-    /** Null where the body was read before the request was dispatched. */
+    private final String clientRequestId;
+    private final RequestId uniqueId;
+    /** The streamed body; null if the body was read before the request was dispatched. */
     private final RequestBody requestBody;
 
     private final ClientWatch watch;
     private boolean isOver;
 
     /**
-     * @param clientsId the id that the client gave
-     * @param id the unique one that the decisions know the request by
-     * @param requestBody a long body that is still coming, or null
+     * @param clientRequestId the id that the client gave
+     * @param uniqueId the unique id by which the decisions identify the request
+     * @param requestBody a long body that is still being received, or null
      */
     ClientResponder(
             EventLoop loop,
@@ -49,8 +49,8 @@
             ResponseWriter responses,
             RequestDispatcher dispatcher,
             HttpServerExchange exchange,
-            String clientsId,
-            RequestId id,
+            String clientRequestId,
+            RequestId uniqueId,
             RequestBody requestBody) {
         this.loop = loop;
         this.log = log;
@@ -59,23 +59,24 @@
         this.dispatcher = dispatcher;
         this.exchange = exchange;
         this.connection = (HttpServerConnection) exchange.getConnection();
-        this.clientsId = clientsId;
-        this.id = id;
+        this.clientRequestId = clientRequestId;
+        this.uniqueId = uniqueId;
         this.requestBody = requestBody;
         this.watch = new ClientWatch(connections, connection, this::clientLeft);
     }
 
-    String clientsId() {
-        return clientsId;
+    /** Returns the id that the client gave. */
+    String clientRequestId() {
+        return clientRequestId;
     }
 
-    /** Null where the connection is no socket, as in the warm-up. */
+    /** Returns the client's address, or null if the connection is not a socket, as in the warm-up. */
     InetAddress clientAddress() {
         InetSocketAddress peer = connection.getPeerAddress(InetSocketAddress.class);
         return peer == null ? null : peer.getAddress();
     }
 
-    /** From here on the client's end is noticed; while a long body comes, by its {@link RequestBody}. */
+    /** Starts to detect the close by the client; while a long body is received, {@link RequestBody} detects it. */
     void start() {
         if (requestBody == null) {
             watch.start();
@@ -88,15 +89,20 @@
     public boolean isOver() {
         if (!isOver && watch.isStarted()) {
             watch.readToEnd();
-        } else if (!isOver && connections.hasEnded(connection)) {
+        } else if (!isOver && connections.hasClientClosed(connection)) {
             clientLeft();
         }
         return isOver;
     }
 
-    // ---- A long request body ----------------------------------------------------------------------------
+    // ---- Streamed request body --------------------------------------------------------------------------
 
-    /** Without a client the body must stay incomplete: its last byte would make the upstream execute the request. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>Once the client has left, the body must stay incomplete: its last byte would make the upstream execute the
+     * request.
+     */
     @Override
     public boolean isClientWaiting() {
         return !isOver();
@@ -115,15 +121,15 @@
             return;
         }
         end();
-        dispatcher.clientLeft(id);
+        dispatcher.clientLeft(uniqueId);
         if (isTooLong) {
-            responses.rejectAndClose(exchange, RequestReader.tooLong());
+            responses.rejectAndClose(exchange, RequestReader.bodyTooLong());
         } else {
             connections.close(connection, RequestProgress.EndCause.BODY_BROKE_OFF);
         }
     }
 
-    // ---- The response -----------------------------------------------------------------------------------
+    // ---- Response ---------------------------------------------------------------------------------------
 
     @Override
     public void served(HttpResult result) {
@@ -136,7 +142,7 @@
         }
         HeaderForwarding.copy(result.headers(), exchange.getResponseHeaders());
         if (remainder == null) {
-            responses.send(exchange, result.body(), unread());
+            responses.send(exchange, result.body(), unreadInput());
             return;
         }
         String length = result.headers().getFirst(Headers.CONTENT_LENGTH);
@@ -152,11 +158,11 @@
             if (retryAfterSeconds > 0) {
                 exchange.getResponseHeaders().put(Headers.RETRY_AFTER, retryAfterText(retryAfterSeconds));
             }
-            responses.send(exchange, HttpCall.NO_BODY, unread());
+            responses.send(exchange, HttpCall.NO_BODY, unreadInput());
         }
     }
 
-    /** Rounded up to milliseconds: a client that keeps to it is never early. */
+    /** Formats a Retry-After in seconds, rounded up to milliseconds so that a client that honours it is never early. */
     static String retryAfterText(double seconds) {
         return Double.toString(Math.ceil(seconds * 1e3) / 1e3);
     }
@@ -164,17 +170,17 @@
     @Override
     public void failed() {
         if (beginResponse(StatusCodes.BAD_GATEWAY)) {
-            responses.send(exchange, HttpCall.NO_BODY, unread());
+            responses.send(exchange, HttpCall.NO_BODY, unreadInput());
         }
     }
 
-    /** Sets the status and says whether there is anybody to write a response to. */
+    /** Sets the status and returns whether there is still a client to write the response to. */
     private boolean beginResponse(int status) {
         if (isOver) {
             return false;
         }
         if (responses.closesConnections() && watch.isStarted()) {
-            // Before it is decided whether the connection ends: a request that was sent ahead must not be cut off.
+            // Read before deciding whether the connection ends: a pipelined request must not be cut off.
             watch.read();
             if (isOver) {
                 return false;
@@ -195,16 +201,16 @@
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(status);
-        log.debug(() -> "request answered: request=" + Log.clean(clientsId) + " status=" + status + " keep-alive="
+        log.debug(() -> "request answered: request=" + Log.clean(clientRequestId) + " status=" + status + " keep-alive="
                 + exchange.isPersistent());
         return true;
     }
 
-    private ResponseWriter.Unread unread() {
+    private ResponseWriter.UnreadInput unreadInput() {
         if (watch.isDiscarding()) {
-            return ResponseWriter.Unread.BEHIND_REQUEST;
+            return ResponseWriter.UnreadInput.AFTER_REQUEST;
         }
-        return isBodyUnread() ? ResponseWriter.Unread.BODY : ResponseWriter.Unread.NOTHING;
+        return isBodyUnread() ? ResponseWriter.UnreadInput.BODY : ResponseWriter.UnreadInput.NOTHING;
     }
 
     private boolean isBodyUnread() {
@@ -213,13 +219,13 @@
 
     private void clientLeft() {
         end();
-        dispatcher.clientLeft(id);
+        dispatcher.clientLeft(uniqueId);
         connections.close(connection, RequestProgress.EndCause.CLIENT_LEFT);
     }
 
     private void end() {
         isOver = true;
         watch.stop();
-        dispatcher.ended(this);
+        dispatcher.responderEnded(this);
     }
 }
