--- a/core/src/main/java/portrelay/admission/AdmissionConfig.java
+++ b/core/src/main/java/portrelay/admission/AdmissionConfig.java
@@ -4,18 +4,18 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Configuration of admission control, the section {@code door} of a configuration file. Without a bound on requests in
- * flight and without following the load balancer no request is ever queued.
+ * Configuration of admission control, read from the section {@code door} of a configuration file. No request is ever
+ * queued unless {@code maxInFlight} bounds the requests in flight or {@code followLoadBalancer} is set.
  *
- * @param flowsBy which requests share a queue; by tenant by default
- * @param maxInFlight requests that may be admitted and unanswered at once; 0, the default, for no bound
+ * @param flowsBy what identifies a flow, whose requests share a queue; the tenant by default
+ * @param maxInFlight maximum number of requests that are admitted and not yet answered; 0, the default, for no bound
  * @param followLoadBalancer whether requests queue while the load balancer has no capacity; false by default
- * @param maxQueued requests that may be queued at once, from 1; 1024 by default
- * @param maxQueuedBytes bytes of all queued requests, from 1 KiB; 4 MiB by default
- * @param maxFlows flows that have a queue of their own, from 1; 256 by default
- * @param waitShare the share of its time to the deadline that a request may be queued for, 0.001 to 0.9; 0.25 by
+ * @param maxQueued maximum number of queued requests, from 1; 1024 by default
+ * @param maxQueuedBytes maximum size of all queued requests in bytes, from 1 KiB; 4 MiB by default
+ * @param maxFlows maximum number of flows that have a queue of their own, from 1; 256 by default
+ * @param waitShare the share of a request's time to its deadline for which it may be queued, 0.001 to 0.9; 0.25 by
  *     default
- * @param counterLogInterval seconds between log lines of the tenants' counters, from 0.1; 10 by default
+ * @param counterLogInterval seconds between the log lines with the counters of the tenants, from 0.1; 10 by default
  * @param connectionCapacity configuration of client connections
  */
 public record AdmissionConfig(
@@ -29,24 +29,28 @@
         double counterLogInterval,
         ConnectionCapacityConfig connectionCapacity) {
 
-    /** What a flow is identified by. */
+    /** What identifies a flow. */
     public enum FlowsBy {
+        /** The tenant. */
         TENANT,
+        /** The address of the client. */
         CLIENT,
+        /** The tenant and the address of the client. */
         BOTH
     }
 
-    /** The defaults of all fields. */
+    /** The default values of all fields. */
     public static final AdmissionConfig DEFAULTS = new AdmissionConfig(
             FlowsBy.TENANT, 0, false, 1024, 4 << 20, 256, 0.25, 10, ConnectionCapacityConfig.DEFAULTS);
 
-    /** Bytes of memory that a queued request takes besides its own bytes: estimated from its fields, as the next. */
+    /** Memory that a queued request takes besides its own bytes, estimated from its fields. */
     private static final int BYTES_PER_REQUEST = 400;
 
+    /** Memory that a flow takes, estimated from its fields. */
     private static final int BYTES_PER_FLOW = 600;
 
     /**
-     * Reads the section.
+     * Reads the section {@code door}.
      *
      * @throws InvalidSettingException for the first field that is unknown, of the wrong type or out of range
      */
@@ -81,9 +85,12 @@
                         : DEFAULTS.connectionCapacity);
     }
 
-    /** An estimate of the memory, in bytes, that queued requests can take at most, without the HTTP library's own. */
+    /**
+     * Returns an estimate of the maximum memory of the queue, in bytes, without the memory that the HTTP library takes
+     * for the queued requests.
+     */
     public long maxQueueMemory() {
-        // A flow may be known to the queue and to both tables of returning clients.
+        // A flow may be kept by the queue and by both maps of ReturningClients.
         long flows = 3L * maxFlows + FairQueue.SHARED_FLOWS + ReturningClients.SHARED_FLOWS;
         return maxQueuedBytes + (long) maxQueued * BYTES_PER_REQUEST + flows * BYTES_PER_FLOW;
     }
--- a/core/src/main/java/portrelay/admission/AdmissionController.java
+++ b/core/src/main/java/portrelay/admission/AdmissionController.java
@@ -15,13 +15,14 @@
 import portrelay.model.WakeUp;
 
 /**
- * Decides which requests reach the load balancer, in what order, and which are rejected with which Retry-After. Each
- * request is either admitted or rejected, the latter as soon as its wait would exceed what it may wait. Flows share the
- * capacity by weight ({@link FairQueue}); a Retry-After is a reservation ({@link RetryAfterScheduler}); memory stays
- * within {@link AdmissionConfig#maxQueueMemory}.
+ * Decides which requests are admitted to the load balancer and in what order, and which are rejected and with which
+ * Retry-After. A request is rejected as soon as its expected wait exceeds the maximum wait. Flows share the capacity by
+ * weight ({@link FairQueue}), a Retry-After is a reservation ({@link RetryAfterScheduler}), and memory stays within
+ * {@link AdmissionConfig#maxQueueMemory}.
  *
- * <p>Has no clock and never blocks: its owner calls the events on one thread, in the order in which things happen, each
- * with the time in seconds, which never goes back, and carries out the {@link AdmissionActions}.
+ * <p>The controller has no clock and never blocks. Its owner reports the events on one thread, in the order in which
+ * they occur, each with the time in seconds, which never decreases, and carries out the {@link AdmissionActions}. Not
+ * thread-safe.
  */
 public final class AdmissionController {
 
@@ -52,7 +53,7 @@
     private final ReturningClients returningClients;
     private final AdmissionRate rate = new AdmissionRate();
     private final Map<RequestId, OpenRequest> requests = new HashMap<>();
-    /** Queued requests, the one whose wait ends first at the front. */
+    /** Queued requests by the end of their maximum wait, the earliest first. */
     private final TreeSet<OpenRequest> byWaitEnd =
             new TreeSet<>(Comparator.<OpenRequest>comparingDouble(open -> open.request.waitUntil())
                     .thenComparingLong(open -> open.order));
@@ -66,7 +67,12 @@
     /** The time of the last event. */
     private double now;
 
-    /** The maximum Retry-After is the longest Retry-After, in seconds, that clients observe; 0 if they observe none. */
+    /**
+     * Creates a controller with an empty queue.
+     *
+     * @param maxRetryAfter the longest Retry-After that clients observe, in seconds; 0 if they observe none
+     * @param seed seed of the jitter of Retry-After times
+     */
     public AdmissionController(AdmissionConfig config, double maxRetryAfter, long seed, AdmissionActions actions) {
         this.config = config;
         this.actions = actions;
@@ -78,7 +84,7 @@
     // ---- Events -----------------------------------------------------------------------------------------
 
     /**
-     * A request has been read.
+     * Queues a request that has been read, and admits or rejects it at once where that is already decided.
      *
      * @throws IllegalStateException if a request of this id is open
      */
@@ -94,34 +100,34 @@
         processQueue();
     }
 
-    /** The client of a queued request has gone; nothing happens for one that was admitted. */
+    /** Removes a queued request whose client has disconnected. Does nothing for an admitted request. */
     public void clientLeft(double time, RequestId id) {
         now = time;
         step(requests.get(id), Input.CLIENT_LEFT);
         processQueue();
     }
 
-    /** An admitted request has its answer, or its client has gone: its capacity is free. */
+    /** Releases the capacity of an admitted request that has been answered or whose client has disconnected. */
     public void requestAnswered(double time, RequestId id) {
         now = time;
         step(requests.get(id), Input.ANSWERED);
         processQueue();
     }
 
-    /** The load balancer may have capacity again. */
+    /** Admits queued requests after a change by which the load balancer may have capacity again. */
     public void capacityChanged(double time) {
         now = time;
         processQueue();
     }
 
-    /** The time of {@link AdmissionActions#wakeUpAt} has come. */
+    /** Handles the wake-up that {@link AdmissionActions#wakeUpAt} scheduled. */
     public void wakeUp(double time) {
         now = time;
         pendingWakeUp.fired(now);
         processQueue();
     }
 
-    /** Rejects all queued requests, and every later one, without Retry-After. */
+    /** Rejects all queued requests and every later request, without Retry-After. */
     public void close(double time) {
         now = time;
         closed = true;
@@ -135,38 +141,41 @@
         return requests.containsKey(id);
     }
 
-    /** Whether the request is queued, so that the load balancer does not know it. */
+    /** Whether the request is queued, that is, has not been passed to the load balancer. */
     public boolean isQueued(RequestId id) {
         OpenRequest open = requests.get(id);
         return open != null && open.state() == State.QUEUED;
     }
 
-    /** Mean seconds from admission to answer of the class's last requests: the work that a request counts as. */
+    /**
+     * Returns the mean time from admission to answer of the last requests of the class, in seconds, for use as
+     * {@link AdmissionRequest#work}.
+     */
     public double typicalWork(RequestClassId requestClass) {
         return serviceTimes.mean(requestClass);
     }
 
-    /** Requests that are queued now. */
+    /** Returns the number of queued requests. */
     public int queuedCount() {
         return queue.size();
     }
 
-    /** Requests that were admitted and are not answered. */
+    /** Returns the number of admitted requests that are not yet answered. */
     public int inFlightCount() {
         return inFlight;
     }
 
-    /** Retry-After times that were given and are still to come. */
+    /** Returns the number of reserved Retry-After times that are neither redeemed nor expired. */
     public int openRetryAfterCount() {
         return retryAfter.reservations();
     }
 
-    /** A read-only live view; the key is null for requests without a tenant. */
+    /** Returns the counters of each tenant as a read-only live view. The key is null for requests without a tenant. */
     public Map<TenantId, TenantCounters> countersByTenant() {
         return Collections.unmodifiableMap(counters);
     }
 
-    // ---- Effects of the transition table ----------------------------------------------------------------
+    // ---- Actions of the transition table ----------------------------------------------------------------
 
     private void step(OpenRequest open, Input input) {
         if (open != null) {
@@ -227,7 +236,7 @@
         return null;
     }
 
-    /** The one place that releases what a queued request holds. */
+    /** Removes a request from the queue with all its bookkeeping. Every transition out of QUEUED calls it. */
     private void dequeue(OpenRequest open) {
         queue.remove(open.request.id());
         byWaitEnd.remove(open);
@@ -236,7 +245,7 @@
 
     // ---- The queue --------------------------------------------------------------------------------------
 
-    /** Seconds until the work is admitted at the flow's share of the admission rate; 0 while the rate is unknown. */
+    /** Returns the seconds to admit the work at the flow's share of the admission rate; 0 while the rate is unknown. */
     private double secondsToAdmit(AdmissionRequest request, double work) {
         double workPerSecond = rate.workPerSecond(now);
         return workPerSecond == 0 ? 0 : work / (workPerSecond * queue.shareOf(request.flow(), request.weight()));
@@ -248,8 +257,8 @@
     }
 
     /**
-     * Rejects requests whose wait is over, admits others while there is capacity, and asks to be woken for the next end
-     * of a wait.
+     * Rejects requests whose maximum wait has passed, admits others while there is capacity, and schedules a wake-up
+     * for the next end of a wait.
      */
     private void processQueue() {
         retryAfter.removeExpired(now);
--- a/core/src/main/java/portrelay/admission/AdmissionRate.java
+++ b/core/src/main/java/portrelay/admission/AdmissionRate.java
@@ -3,31 +3,31 @@
 import portrelay.model.Samples;
 
 /**
- * The rate at which queued work is admitted, measured while more requests are queued: without a queue the rate is that
- * of arrivals and says nothing of what could be admitted.
+ * Measures the rate at which queued work is admitted. Only admissions with a backlog are measured: without a backlog,
+ * requests are admitted at the rate at which they arrive, which does not show the capacity.
  */
 final class AdmissionRate {
 
     private static final int MAX_SAMPLES = 32;
-    /** With fewer the rate is not known well enough to reject by it. */
+    /** With fewer samples the rate is too imprecise for rejections. */
     private static final int MIN_SAMPLES = 8;
 
     private final Samples admittedAt = new Samples(MAX_SAMPLES);
     private final Samples admittedWork = new Samples(MAX_SAMPLES);
 
-    /** Work was admitted from the queue and more is queued. */
+    /** Records the admission of queued work, in seconds, while more work is queued. */
     void admittedWithBacklog(double now, double work) {
         admittedAt.add(now);
         admittedWork.add(work);
     }
 
-    /** The queue is empty: the rate is unknown until there is a backlog again. */
+    /** Discards all samples as the queue is empty: the rate is unknown until there is a backlog again. */
     void queueEmptied() {
         admittedAt.clear();
         admittedWork.clear();
     }
 
-    /** Admitted work per second; 0 while too few samples are known. */
+    /** Returns the admitted work per second; 0 while there are too few samples. */
     double workPerSecond(double now) {
         if (admittedAt.size() < MIN_SAMPLES) {
             return 0;
--- a/core/src/main/java/portrelay/admission/AdmissionRequest.java
+++ b/core/src/main/java/portrelay/admission/AdmissionRequest.java
@@ -5,15 +5,15 @@
 import portrelay.model.TenantId;
 
 /**
- * A request as admission control sees it.
+ * A request with the properties by which admission control queues, admits or rejects it.
  *
- * @param flow whose queue it joins
- * @param tenant null for none
- * @param weight of its flow against other flows, over 0
- * @param work what it is expected to take of the load balancer, over 0, in seconds
- * @param bytes that it takes while it is queued
- * @param waitUntil when it is rejected if it has not been admitted
- * @param retriedByClient whether the client marked it as a retry
+ * @param flow the flow whose queue the request joins
+ * @param tenant the tenant; null for none
+ * @param weight the weight of the flow relative to other flows, over 0
+ * @param work the expected time of the request in the load balancer, in seconds, over 0
+ * @param bytes the memory that the request takes while it is queued
+ * @param waitUntil the time at which the request is rejected if it has not been admitted
+ * @param retriedByClient whether the client marked the request as a retry
  */
 public record AdmissionRequest(
         RequestId id,
@@ -26,14 +26,18 @@
         double waitUntil,
         boolean retriedByClient) {
 
-    /** Throws {@link IllegalArgumentException} for a weight or work that is not over 0. */
+    /**
+     * Creates a request.
+     *
+     * @throws IllegalArgumentException if weight or work is not over 0
+     */
     public AdmissionRequest {
         if (!(weight > 0) || !(work > 0)) {
             throw new IllegalArgumentException("weight and work have to be over 0: " + weight + ", " + work);
         }
     }
 
-    /** The same request in another flow of another weight. */
+    /** Returns the same request in another flow with another weight. */
     AdmissionRequest inFlow(FlowId otherFlow, double otherWeight) {
         return new AdmissionRequest(
                 id, otherFlow, tenant, requestClass, otherWeight, work, bytes, waitUntil, retriedByClient);
--- a/core/src/main/java/portrelay/admission/ClientId.java
+++ b/core/src/main/java/portrelay/admission/ClientId.java
@@ -1,4 +1,4 @@
 package portrelay.admission;
 
-/** One client connection, numbered in the order in which they were accepted. */
+/** Identifies a client connection by its number in the order of acceptance. */
 public record ClientId(long value) {}
--- a/core/src/main/java/portrelay/admission/ConnectionCapacity.java
+++ b/core/src/main/java/portrelay/admission/ConnectionCapacity.java
@@ -11,52 +11,58 @@
 import java.util.stream.Stream;
 
 /**
- * Decides which client connections are closed. A connection with an open request is never closed here, except that of a
- * client that reads its response too slowly; there is capacity for a new connection as long as any other one neither
- * awaits nor reads a response. Knows no socket and has no clock: its owner reports each connection's phase on one
- * thread, and closes the connections that it names. The rules are in docs/design/door.md.
+ * Decides which client connections are closed. A connection with an open request is never selected, unless its client
+ * reads the response too slowly. There is capacity for a new connection as long as any other connection neither awaits
+ * nor reads a response. This class has no clock and no access to sockets: its owner reports the phase of each
+ * connection on one thread, and closes the connections that are returned as {@link Eviction}. Not thread-safe. The
+ * rules are in docs/design/door.md.
  */
 public final class ConnectionCapacity {
 
-    /** What a connection is doing. */
+    /** The phase of a connection. */
     public enum Phase {
         /** No byte has been received yet. */
         SILENT,
-        /** The client sends a request. */
+        /** The client is sending a request. */
         SENDING,
-        /** A request is open and awaits its response, or a further part of it. */
+        /** A request is open and awaits its response or a further part of it. */
         ASKED,
-        /** The response has bytes that the client has not read. */
+        /** The client has yet to read a part of the response. */
         ANSWERING,
-        /** No request is open, and one was before. */
+        /** No request is open after at least one earlier request. */
         IDLE
     }
 
-    /** Why a connection is closed. */
+    /** The reason for closing a connection. */
     public enum Cause {
-        /** It was in its phase for longer than its timeout. */
+        /** The connection was in its phase for longer than the timeout of the phase. */
         TOO_LONG,
-        /** There were too many connections. */
+        /** There were more connections than the limit. */
         MADE_WAY,
-        /** It was idle and more were idle than were lately used at once. */
+        /** The connection was idle, and more were idle than the recent peak of concurrent requests requires. */
         NOT_NEEDED,
-        /** It was idle and the process shuts down: what comes on it would be rejected. */
+        /** The connection was idle and the process is shutting down: a new request on it would be rejected. */
         SHUTDOWN
     }
 
-    /** A connection to be closed now. */
+    /** A connection that the owner has to close, with its phase and the reason. */
     public record Eviction(ClientId id, Phase phase, Cause cause) {}
 
-    /** Under pressure the oldest of the phase may be closed above this age, or while the phase is above this share. */
+    /**
+     * Allows, while there are too many connections, to close the oldest connection of the phase if it is older than the
+     * minimum age, or while the phase has more than this share of all connections.
+     */
     private record EvictionRule(Phase phase, double minAge, double share) {}
 
     private static final class Connection {
         private Phase phase = Phase.SILENT;
+        /** When the connection entered its phase. */
         private double since;
     }
 
+    /** In a rule by age alone. */
     private static final double NO_SHARE = Double.POSITIVE_INFINITY;
-    /** The peak of connections that await a response is taken over the last second, in windows. */
+    /** The peak of connections that await a response covers the last second, in windows of this length. */
     private static final double PEAK_WINDOW_SECONDS = 0.25;
 
     private static final int PEAK_WINDOWS = 4;
@@ -64,21 +70,22 @@
     private final int minIdle;
     private final double idlePerAwaiting;
     private final double minIdleTime;
-    /** Rules under pressure, the first that applies wins. ASKED has none. */
+    /** Rules for too many connections; the first that applies is used. There is none for ASKED. */
     private final List<EvictionRule> evictionRules;
-    /** Seconds that a connection may be in the phase without any pressure; unlimited for others. */
+    /** Maximum seconds in a phase, whether or not there are too many connections; unlimited for other phases. */
     private final Map<Phase, Double> timeouts = new EnumMap<>(Phase.class);
 
     private final Map<ClientId, Connection> connections = new HashMap<>();
-    /** Of each phase, the longest in it first. */
+    /** Connections by phase, in the order in which they entered it. */
     private final Map<Phase, Set<ClientId>> byPhase = new EnumMap<>(Phase.class);
-    /** The one that was opened last; null before the first. */
+    /** The connection that was opened last; null before the first. */
     private ClientId newest;
-    /** The most that awaited a response at once, in each of the last windows; a ring by window number. */
+    /** Peak of connections that awaited a response in each of the last windows; a ring buffer by window number. */
     private final int[] awaitingPeaks = new int[PEAK_WINDOWS];
 
     private long currentWindow;
 
+    /** Creates an instance without connections. */
     public ConnectionCapacity(ConnectionCapacityConfig config) {
         for (Phase each : Phase.values()) {
             byPhase.put(each, new LinkedHashSet<>());
@@ -101,21 +108,21 @@
     }
 
     /**
-     * A connection was accepted.
+     * Adds an accepted connection, in the phase SILENT.
      *
-     * @throws IllegalStateException if one of this id is open
+     * @throws IllegalStateException if a connection of this id is open
      */
     public void opened(double now, ClientId id) {
         Connection connection = new Connection();
         connection.since = now;
         if (connections.put(id, connection) != null) {
-            throw new IllegalStateException("opened twice: " + id);
+            throw new IllegalStateException("a connection of this id is open: " + id);
         }
         byPhase.get(Phase.SILENT).add(id);
         newest = id;
     }
 
-    /** Does nothing for a connection that has been closed. */
+    /** Sets the phase of a connection. Does nothing for a connection that has been closed. */
     public void phaseChanged(double now, ClientId id, Phase phase) {
         Connection connection = connections.get(id);
         if (connection == null) {
@@ -130,7 +137,7 @@
         }
     }
 
-    /** A silent or idle connection is now sending; for others nothing changes. */
+    /** Sets the phase of a silent or idle connection to SENDING; does nothing for other phases. */
     public void bytesReceived(double now, ClientId id) {
         Connection connection = connections.get(id);
         if (connection != null && (connection.phase == Phase.SILENT || connection.phase == Phase.IDLE)) {
@@ -138,6 +145,7 @@
         }
     }
 
+    /** Removes a connection that has been closed. Does nothing if it is not open. */
     public void closed(ClientId id) {
         Connection connection = connections.remove(id);
         if (connection != null) {
@@ -145,33 +153,37 @@
         }
     }
 
-    /** Null for a connection that is not open. */
+    /** Returns the phase of the connection; null if the connection is not open. */
     public Phase phase(ClientId id) {
         Connection connection = connections.get(id);
         return connection == null ? null : connection.phase;
     }
 
+    /** Returns the number of open connections. */
     public int count() {
         return connections.size();
     }
 
+    /** Returns the number of open connections in the phase. */
     public int count(Phase phase) {
         return byPhase.get(phase).size();
     }
 
-    /** The connections in one of these phases. */
+    /** Returns the connections in the phases, phase by phase, the longest in a phase first. */
     public List<ClientId> in(Phase... phases) {
         return Stream.of(phases).flatMap(each -> byPhase.get(each).stream()).toList();
     }
 
-    /** The connections that have been silent or idle for at least that many seconds. */
+    /** Returns the connections that have been silent or idle for at least {@code minAge} seconds. */
     public List<ClientId> silentFor(double now, double minAge) {
         return in(Phase.SILENT, Phase.IDLE).stream()
                 .filter(each -> age(now, each) >= minAge)
                 .toList();
     }
 
-    /** One that has been in its phase for longer than its timeout; null if there is none. */
+    /**
+     * Returns a connection that has been in its phase for longer than the timeout of the phase; null if there is none.
+     */
     public Eviction overdue(double now) {
         for (Map.Entry<Phase, Double> each : timeouts.entrySet()) {
             ClientId oldest = oldest(each.getKey());
@@ -183,8 +195,9 @@
     }
 
     /**
-     * The longest idle connection while too many are idle for what was lately used at once; null if not. Guards callers
-     * with a connection limit of their own: one that is idle with one client is not free for another.
+     * Returns the longest idle connection if more are idle than the recent peak of concurrent requests requires; null
+     * otherwise. Guards callers that limit their connections: a connection that one of their clients keeps idle is not
+     * available to another.
      */
     public Eviction surplus(double now) {
         double peak = Arrays.stream(awaitingPeaks).max().orElse(0);
@@ -197,8 +210,8 @@
     }
 
     /**
-     * The first connection to close while more are open than the limit; null if not, or if none may be closed. The
-     * newest one only if no other may: its first bytes are on their way.
+     * Returns the first connection to close if more are open than the limit; null if not, or if none may be closed. The
+     * newest connection is returned only if no other may be closed, as its first bytes are probably in transit.
      */
     public Eviction underPressure(double now, int limit) {
         if (connections.size() <= limit) {
--- a/core/src/main/java/portrelay/admission/ConnectionCapacityConfig.java
+++ b/core/src/main/java/portrelay/admission/ConnectionCapacityConfig.java
@@ -4,21 +4,23 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Configuration of client connections, the section {@code door.connections} of a configuration file, where times are in
- * milliseconds. Here they are seconds.
+ * Configuration of client connections, read from the section {@code door.connections} of a configuration file. Times
+ * are milliseconds in the file and seconds here. "Under pressure" means while there are more connections than the
+ * limit.
  *
- * @param firstByteTimeout a connection without a first byte may be closed under pressure from then on; 0.2 by default
- * @param sendTimeout a client that sends a request for longer is closed, under pressure after half of it; 2.5 by
+ * @param firstByteTimeout time without a first byte after which a connection may be closed under pressure; 0.2 by
  *     default
- * @param readTimeout a client that reads a response for longer is closed, under pressure after half of it; 2.5 by
- *     default
- * @param idleTimeout an idle connection may be closed under pressure from then on; 2.1 by default
+ * @param sendTimeout maximum time in which a client sends a request; its connection is closed afterwards, and may be
+ *     closed under pressure after half of it; 2.5 by default
+ * @param readTimeout maximum time in which a client reads a response; its connection is closed afterwards, and may be
+ *     closed under pressure after half of it; 2.5 by default
+ * @param idleTimeout idle time after which a connection may be closed under pressure; 2.1 by default
  * @param silentShare share of all connections, 0 to 1, that silent ones keep under pressure; 0.25 by default
  * @param sendingShare share of all connections, 0 to 1, that sending ones keep under pressure; 0.25 by default
- * @param minIdle idle connections that are never surplus; 16 by default
- * @param idlePerAwaiting idle connections and those that await a response may together be this many for each that
- *     lately awaited one at once; 1.5 by default
- * @param minIdleTime a connection that has been idle for less is never surplus; 0.1 by default
+ * @param minIdle number of idle connections that are never surplus; 16 by default
+ * @param idlePerAwaiting maximum number of connections that are idle or await a response, per connection of the recent
+ *     peak that awaited a response concurrently; 1.5 by default
+ * @param minIdleTime idle time up to which a connection is never surplus; 0.1 by default
  */
 public record ConnectionCapacityConfig(
         double firstByteTimeout,
@@ -31,14 +33,16 @@
         double idlePerAwaiting,
         double minIdleTime) {
 
-    /** The defaults of all fields. */
+    /** The default values of all fields. */
     public static final ConnectionCapacityConfig DEFAULTS =
             new ConnectionCapacityConfig(0.2, 2.5, 2.5, 2.1, 0.25, 0.25, 16, 1.5, 0.1);
 
     private static final double MILLIS_PER_SECOND = 1e3;
 
     /**
-     * Throws {@link InvalidSettingException} for the first field that is unknown, of the wrong type or out of range.
+     * Reads the section {@code door.connections}.
+     *
+     * @throws InvalidSettingException for the first field that is unknown, of the wrong type or out of range
      */
     static ConnectionCapacityConfig read(JsonFields fields) throws InvalidSettingException {
         fields.rejectUnknown(
--- a/core/src/main/java/portrelay/admission/FairQueue.java
+++ b/core/src/main/java/portrelay/admission/FairQueue.java
@@ -11,34 +11,33 @@
 import portrelay.model.RequestId;
 
 /**
- * Worst-case fair weighted fair queueing (Bennett and Zhang, WF2Q, 1996). The reference is a fluid server (generalized
- * processor sharing) that divides each unit of work among all flows with work left, by weight; the work admitted of a
- * flow never differs from the fluid server's by more than one request's work. Virtual time advances with admitted work
- * alone, no clock is used.
+ * A queue with worst-case fair weighted fair queueing (Bennett and Zhang, WF2Q, 1996). The reference is a fluid server
+ * (generalized processor sharing) that divides each unit of work by weight among all flows that have work left. The
+ * admitted work of a flow never differs from that of the fluid server by more than the work of one request. Virtual
+ * time advances with admitted work only; no clock is used.
  *
- * <p>Holds no more requests, bytes and flows than the bounds given. Each call takes time logarithmic in the number of
- * flows.
+ * <p>The numbers of requests, bytes and flows are bounded. Each call takes time logarithmic in the number of flows.
  */
 final class FairQueue {
 
-    /** Flows beyond the bound share this many queues, by hash of their id. */
+    /** Number of queues that the flows beyond the bound share, by hash of their id. */
     static final int SHARED_FLOWS = 16;
 
     private static final class Flow {
         final FlowId id;
         final double weight;
         final long order;
-        /** Queued requests by position; those that honour a Retry-After are put before all others. */
+        /** Queued requests by position; those that honour a Retry-After precede all others. */
         final TreeMap<Long, Entry> queued = new TreeMap<>();
 
         double queuedWork;
         /** Virtual finish time of the last admitted request. */
         double admittedFinish = Double.NEGATIVE_INFINITY;
-        /** Virtual start and finish times of the first queued request. */
+        /** Virtual start time of the first queued request. */
         double start;
-
+        /** Virtual finish time of the first queued request. */
         double finish;
-        /** Virtual time at which the fluid server has served all that came. */
+        /** Virtual time at which the fluid server has served all work of the flow. */
         double fluidFinish = Double.NEGATIVE_INFINITY;
 
         boolean inFluid;
@@ -61,19 +60,19 @@
     private final TreeSet<Flow> eligible = new TreeSet<>(by(flow -> flow.finish));
     /** The other flows with queued requests, by the first one's virtual start time. */
     private final TreeSet<Flow> ineligible = new TreeSet<>(by(flow -> flow.start));
-    /** Flows that the fluid server has work of, by when it finishes them. */
+    /** Flows with work left in the fluid server, by their virtual finish time there. */
     private final TreeSet<Flow> inFluid = new TreeSet<>(by(flow -> flow.fluidFinish));
-    /** Flows with queued requests, by queued work for their weight. */
+    /** Flows with queued requests, by queued work divided by weight. */
     private final TreeSet<Flow> byBacklog = new TreeSet<>(by(flow -> flow.queuedWork / flow.weight));
 
     private double virtualTime;
-    /** Sum over the flows in the fluid server. */
+    /** Sum of the weights of the flows in the fluid server. */
     private double fluidWeight;
-    /** Sum over the flows with queued requests. */
+    /** Sum of the weights of the flows with queued requests. */
     private double queuedWeight;
 
     private long bytes;
-    /** Positions of requests and, for ties, of flows: ascending in order of arrival. */
+    /** Next position of a request, or tie-breaking order of a flow; ascending in order of arrival. */
     private long nextOrder;
 
     FairQueue(int maxRequests, long maxBytes, int maxFlows) {
@@ -94,13 +93,15 @@
         return flows.size();
     }
 
-    /** Work that is queued in the flow that a request of this flow id would join. */
+    /** Returns the queued work of the flow that a request with this flow id would join. */
     double workOf(FlowId id) {
         Flow flow = flows.get(ownOrSharedId(id));
         return flow == null ? 0 : flow.queuedWork;
     }
 
-    /** The flow's share, 0 to 1, of admitted work while it and all flows with queued requests stay backlogged. */
+    /**
+     * Returns the flow's share, 0 to 1, of admitted work while it and all flows with queued requests stay backlogged.
+     */
     double shareOf(FlowId id, double weight) {
         Flow flow = flows.get(ownOrSharedId(id));
         double own = flow == null ? weight : flow.weight;
@@ -110,7 +111,8 @@
 
     /**
      * Queues a request at the end or at the front of its flow. Returns the requests that were evicted to keep the
-     * bounds, perhaps the new one: each the last of the flow with the largest backlog for its weight.
+     * bounds, possibly the new one. Each was the last request of the flow with the largest backlog relative to its
+     * weight.
      */
     List<AdmissionRequest> add(AdmissionRequest request, boolean atFront) {
         FlowId id = ownOrSharedId(request.flow());
@@ -134,7 +136,7 @@
         return evicted;
     }
 
-    /** Takes a request out as if it had never come; null if it is not queued. */
+    /** Removes a request and its work, as if it had never been queued. Returns null if it is not queued. */
     AdmissionRequest remove(RequestId id) {
         Entry entry = entries.remove(id);
         if (entry == null) {
@@ -152,12 +154,12 @@
         return entry.request;
     }
 
-    /** Takes out the request to admit next and advances virtual time by its work; null if none is queued. */
+    /** Removes the request to admit next and advances virtual time by its work. Returns null if none is queued. */
     AdmissionRequest next() {
         if (entries.isEmpty()) {
             return null;
         }
-        // Some flow is always eligible but for rounding errors.
+        // At least one flow is always eligible, except for rounding errors.
         Flow flow = eligible.isEmpty() ? ineligible.first() : eligible.first();
         Entry entry = flow.queued.firstEntry().getValue();
         AdmissionRequest request = entry.request;
@@ -182,7 +184,9 @@
         flow.queuedWork = flow.queued.isEmpty() ? 0 : flow.queuedWork - request.work();
     }
 
-    /** Changes a flow, which is taken out of the ordered sets meanwhile, as the change is one of its sort keys. */
+    /**
+     * Applies a change to a flow's sort keys; the flow is removed from the ordered sets before and added again after.
+     */
     private void update(Flow flow, Runnable change) {
         eligible.remove(flow);
         ineligible.remove(flow);
@@ -212,7 +216,7 @@
         }
     }
 
-    /** Lets the fluid server do so much work, divided among its flows by weight; a flow leaves when it is finished. */
+    /** Advances the fluid server by the work, divided among its flows by weight; removes each flow that is finished. */
     private void advanceFluid(double work) {
         double left = work;
         while (left > 0 && !inFluid.isEmpty()) {
@@ -241,7 +245,7 @@
         }
     }
 
-    /** With nothing queued the fluid server is finished too, but for rounding errors, which end here. */
+    /** Resets the fluid server if no request is queued: it is finished then too, and rounding errors are discarded. */
     private void resetIfEmpty() {
         if (entries.isEmpty()) {
             flows.clear();
--- a/core/src/main/java/portrelay/admission/OpenRequest.java
+++ b/core/src/main/java/portrelay/admission/OpenRequest.java
@@ -2,10 +2,13 @@
 
 import portrelay.model.TransitionTable;
 
-/** A request that is queued or in flight, as {@link AdmissionController} keeps it; only its table changes the state. */
+/**
+ * A request that {@link AdmissionController} has queued or admitted. Its state is changed only by the controller's
+ * transition table.
+ */
 final class OpenRequest extends TransitionTable.Subject<OpenRequest.State> {
 
-    /** IN_FLIGHT is with the load balancer, DONE is forgotten. */
+    /** IN_FLIGHT: admitted to the load balancer and not yet answered. DONE: no longer kept by the controller. */
     enum State {
         NEW,
         QUEUED,
@@ -13,13 +16,14 @@
         DONE
     }
 
-    /** As it is queued, perhaps in a shared flow. */
+    /** The request as it is queued, possibly in a shared flow. */
     final AdmissionRequest request;
-    /** The flow that the client belongs to. */
+    /** The client's own flow, also if the request is queued in a shared one. */
     final FlowId clientFlow;
 
+    /** Ascending in order of arrival; breaks ties between equal times. */
     final long order;
-    /** Whether it came at a Retry-After that it was given. */
+    /** Whether the request came at a reserved Retry-After time. */
     boolean honoursRetryAfter;
 
     double admittedAt;
--- a/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
+++ b/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
@@ -7,31 +7,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Gives out Retry-After times, each a reservation that a later request of the flow can redeem. A flow's times are
- * spaced by what its share of the admission rate can take, with jitter so that no two fall together; a request that
- * comes at a reserved time goes to the front of its flow. No time beyond what clients observe is given: it could not be
- * kept.
+ * Chooses Retry-After times, each a reservation that a later request of the flow can redeem. The times of a flow are
+ * spaced by its share of the admission rate, with jitter so that no two coincide. A request that comes at a reserved
+ * time is queued at the front of its flow. No time beyond the longest Retry-After that clients observe is reserved, as
+ * clients would not keep it.
  */
 final class RetryAfterScheduler {
 
     /**
-     * A request may come so much before its time: a client's timer differs from ours. It is the shortest Retry-After.
+     * How early a request may come, as the client's timer differs from the local one. Also the shortest Retry-After.
      */
     private static final double EARLY_TOLERANCE_SECONDS = 0.005;
 
-    /** So much after its time a reservation expires. */
+    /** A reservation expires this long after its time. */
     private static final double LATE_TOLERANCE_SECONDS = 0.5;
 
-    /** Of the spacing between two times of a flow. */
+    /** Maximum jitter as a share of the spacing between two times of a flow. */
     private static final double JITTER_SHARE = 0.5;
 
-    /** Between two searches for expired reservations of all flows. */
+    /** Interval between two searches of all flows for expired reservations. */
     private static final double EXPIRY_INTERVAL_SECONDS = 0.1;
 
     private static final class FlowReservations {
         private final Deque<Double> dueTimes = new ArrayDeque<>();
         private double lastDueAt = Double.NEGATIVE_INFINITY;
-        /** Whether its client marks retries: then an unmarked request redeems nothing. */
+        /** Whether a request of the flow was marked as a retry; if so, an unmarked request redeems nothing. */
         private boolean marksRetries;
     }
 
@@ -42,7 +42,12 @@
     private int reservations;
     private double nextExpiryAt = Double.NEGATIVE_INFINITY;
 
-    /** The maximum Retry-After is in seconds, 0 where clients observe none; the reservations are those of all flows. */
+    /**
+     * Creates a scheduler without reservations.
+     *
+     * @param maxRetryAfter the longest Retry-After that clients observe, in seconds; 0 if they observe none
+     * @param maxReservations maximum number of open reservations of all flows together
+     */
     RetryAfterScheduler(SplittableRandom random, double maxRetryAfter, int maxReservations) {
         this.random = random;
         this.maxRetryAfter = maxRetryAfter;
@@ -50,11 +55,11 @@
     }
 
     /**
-     * Reserves the flow's next time.
+     * Reserves the next Retry-After time of the flow.
      *
-     * @param drainTime seconds until what the flow has queued will have been admitted
-     * @param spacing seconds that one request takes of the flow's share
-     * @return the Retry-After in seconds from now; 0 for none
+     * @param drainTime seconds until all queued requests of the flow will have been admitted
+     * @param spacing seconds to admit one request at the flow's share of the admission rate
+     * @return the Retry-After in seconds from now; 0 if no time was reserved
      */
     double reserve(double now, FlowId flow, double drainTime, double spacing) {
         removeExpired(now);
@@ -75,7 +80,7 @@
         return wait;
     }
 
-    /** Whether a request of the flow comes at a reserved time; uses that reservation up. */
+    /** Redeems a reservation of the flow if one is due. Returns whether the request comes at a reserved time. */
     boolean redeem(double now, FlowId flow, boolean retriedByClient) {
         removeExpired(now);
         FlowReservations reserved = flows.get(flow);
@@ -97,12 +102,12 @@
         return isDue;
     }
 
-    /** Reservations that were neither redeemed nor have expired. */
+    /** Returns the number of reservations that are neither redeemed nor expired. */
     int reservations() {
         return reservations;
     }
 
-    /** Drops reservations whose time has passed; does nothing if called again within the expiry interval. */
+    /** Removes the expired reservations of all flows; does nothing if called again within the expiry interval. */
     void removeExpired(double now) {
         if (now < nextExpiryAt) {
             return;
--- a/core/src/main/java/portrelay/admission/ReturningClients.java
+++ b/core/src/main/java/portrelay/admission/ReturningClients.java
@@ -4,17 +4,20 @@
 import java.util.Map;
 
 /**
- * Tells returning clients from new ones. A client that was admitted and sends again a while later is a returning one
- * from then on, with a flow of its own; all new clients share a few flows that together weigh as much as one. Guards
- * against a flood of new client names that would take the share of those that come regularly. Returning and new clients
- * are kept in a table each, bounded and least recently used first out, so that new ones push out no returning one.
+ * Distinguishes returning clients from new ones. A client becomes a returning client if it sends a request at least
+ * {@code MIN_AGE_SECONDS} after its first admitted one, and has a flow of its own from then on. All new clients share a
+ * few flows that together have the weight of one. This guards against a flood of new client names that would take the
+ * share of regular clients. Returning and new clients are kept in two bounded maps with least-recently-used eviction,
+ * so that new clients never evict a returning one.
  */
 final class ReturningClients {
 
-    /** New clients are spread over these flows by name, so that one client alone can't fill the queue of all. */
+    /**
+     * Number of flows that new clients share, by hash of their name, so that one client can't fill the queue of all.
+     */
     static final int SHARED_FLOWS = 16;
 
-    /** From a client's first admitted request to the earliest one that makes it a returning client. */
+    /** Minimum time from a client's first admitted request to the request that makes it a returning client. */
     private static final double MIN_AGE_SECONDS = 1;
 
     private static final class LruMap<V> extends LinkedHashMap<FlowId, V> {
@@ -35,13 +38,13 @@
     private final Map<FlowId, Boolean> returning;
     private final Map<FlowId, Double> firstAdmittedAt;
 
-    /** Keeps at most so many returning clients, and as many new ones. */
+    /** Keeps at most {@code maxClients} returning clients, and as many new ones. */
     ReturningClients(int maxClients) {
         returning = new LruMap<>(maxClients);
         firstAdmittedAt = new LruMap<>(maxClients);
     }
 
-    /** The request as it is to be queued: unchanged for a returning client, else in a shared flow. */
+    /** Returns the request as it is to be queued: unchanged for a returning client, otherwise in a shared flow. */
     AdmissionRequest assignFlow(double now, AdmissionRequest request) {
         FlowId flow = request.flow();
         if (returning.get(flow) != null) {
@@ -57,7 +60,7 @@
         return request.inFlow(shared, request.weight() / SHARED_FLOWS);
     }
 
-    /** A request of the flow was admitted; the flow as the client sent it, not a shared one. */
+    /** Records that a request was admitted. The flow is the client's own, not a shared one. */
     void admitted(double now, FlowId flow) {
         if (!returning.containsKey(flow)) {
             firstAdmittedAt.putIfAbsent(flow, now);
--- a/core/src/main/java/portrelay/admission/ServiceTimes.java
+++ b/core/src/main/java/portrelay/admission/ServiceTimes.java
@@ -5,14 +5,14 @@
 import portrelay.model.RequestClassId;
 import portrelay.model.Samples;
 
-/** The mean time from admission to answer of each class's last requests, in seconds. */
+/** Measures the mean time from admission to answer of the last requests of each class, in seconds. */
 final class ServiceTimes {
 
     private static final int MAX_SAMPLES = 64;
-    /** Taken for a class until its first answer. */
+    /** Assumed for a class until its first answer. */
     private static final double DEFAULT_SECONDS = 0.1;
 
-    /** Work has to be over 0. */
+    /** Lower bound of the mean, as {@link AdmissionRequest#work} has to be over 0. */
     private static final double MIN_SECONDS = 1e-6;
 
     private final Map<RequestClassId, Samples> samplesByClass = new HashMap<>();
@@ -23,7 +23,7 @@
                 .add(seconds);
     }
 
-    /** Always over 0; a default where nothing is known. */
+    /** Returns the mean of the class, always over 0; a default for a class without samples. */
     double mean(RequestClassId requestClass) {
         Samples samples = samplesByClass.get(requestClass);
         return Math.max(MIN_SECONDS, samples == null ? DEFAULT_SECONDS : samples.mean(DEFAULT_SECONDS));
--- a/core/src/main/java/portrelay/admission/TenantCounters.java
+++ b/core/src/main/java/portrelay/admission/TenantCounters.java
@@ -1,6 +1,9 @@
 package portrelay.admission;
 
-/** Counters of one tenant's requests at admission since the process started. Owned by the controller's thread. */
+/**
+ * Admission counters of one tenant since the process started. Not thread-safe: used on the thread of the
+ * {@link AdmissionController} only.
+ */
 public final class TenantCounters {
 
     private long admitted;
@@ -15,13 +18,18 @@
         queued += difference;
     }
 
-    /** Counts an admitted request, and whether it came at a Retry-After that it was given. */
+    /** Counts an admitted request. The parameter says whether the request came at a reserved Retry-After time. */
     void admitted(boolean honoursRetryAfter) {
         admitted++;
         retryAfterHonoured += honoursRetryAfter ? 1 : 0;
     }
 
-    /** Counts a rejected request, whether it came at a Retry-After that it was given, and whether it gets one now. */
+    /**
+     * Counts a rejected request.
+     *
+     * @param honoursRetryAfter whether the request came at a reserved Retry-After time
+     * @param givesRetryAfter whether the rejection has a Retry-After
+     */
     void rejected(boolean honoursRetryAfter, boolean givesRetryAfter) {
         rejected++;
         retryAfterMissed += honoursRetryAfter ? 1 : 0;
@@ -32,35 +40,37 @@
         clientsLeft++;
     }
 
+    /** Returns the number of admitted requests. */
     public long admitted() {
         return admitted;
     }
 
+    /** Returns the number of rejected requests. */
     public long rejected() {
         return rejected;
     }
 
-    /** Rejections with a Retry-After. */
+    /** Returns the number of rejections with a Retry-After. */
     public long retryAfterGiven() {
         return retryAfterGiven;
     }
 
-    /** Requests that came at their Retry-After and were admitted. */
+    /** Returns the number of requests that came at their Retry-After and were admitted. */
     public long retryAfterHonoured() {
         return retryAfterHonoured;
     }
 
-    /** Requests that came at their Retry-After and were rejected again. */
+    /** Returns the number of requests that came at their Retry-After and were rejected again. */
     public long retryAfterMissed() {
         return retryAfterMissed;
     }
 
-    /** Requests that are queued now. */
+    /** Returns the number of requests that are currently queued. */
     public int queued() {
         return queued;
     }
 
-    /** The counters as {@code key=value} pairs of a log line. */
+    /** Returns the counters as {@code key=value} pairs for a log line. */
     @Override
     public String toString() {
         return "admitted=" + admitted + " rejected=" + rejected + " client-left=" + clientsLeft + " queued=" + queued
--- a/core/src/main/java/portrelay/gossip/PeerInFlight.java
+++ b/core/src/main/java/portrelay/gossip/PeerInFlight.java
@@ -4,33 +4,38 @@
 import java.util.List;
 
 /**
- * The attempts in flight at one upstream, of all sidecars that share it and report them, this one included. An attempt
- * whose end was lost on the wire is forgotten after the longest deadline.
+ * Tracks the attempts in flight at one upstream, as reported by all sidecars that share it, including this one. An
+ * attempt whose end is not reported, as the message was lost, is removed after the longest deadline. Not thread-safe.
  */
 public final class PeerInFlight {
 
     private record Attempt(int sidecar, double startedAt) {}
 
     private final double maxAge;
-    /** In the order of their reports; the oldest first. */
+    /** In the order of the reports, the oldest first. */
     private final List<Attempt> attempts = new ArrayList<>();
 
     private double servedAt = Double.NEGATIVE_INFINITY;
     private int servedCount;
 
-    /** The maximum age is the longest deadline of all request classes, in seconds, as no attempt lasts longer. */
+    /**
+     * Creates an instance without attempts.
+     *
+     * @param maxAge the longest deadline of all request classes, in seconds, as no attempt lasts longer
+     */
     public PeerInFlight(double maxAge) {
         this.maxAge = maxAge;
     }
 
-    /** The sidecar reported an attempt at this upstream. */
+    /** Records that the sidecar has started an attempt at this upstream. */
     public void attemptStarted(int sidecar, double now) {
         attempts.add(new Attempt(sidecar, now));
     }
 
     /**
-     * The sidecar reported the end of its oldest attempt. Returns whether one was known: an end that is reported twice,
-     * or of an attempt at the upstream's former process, says nothing.
+     * Records the end of an attempt of the sidecar, which counts as the end of its oldest one. Returns whether the
+     * sidecar had an attempt in flight: an end that is reported twice, or that belongs to an attempt before a restart
+     * of the upstream, removes none.
      */
     public boolean attemptEnded(int sidecar, PeerMembership.AttemptEvent event, double now) {
         if (event == PeerMembership.AttemptEvent.SERVED) {
@@ -46,12 +51,12 @@
         return false;
     }
 
-    /** The upstream has restarted: all attempts have ended. */
+    /** Removes all attempts, which have ended as the upstream has restarted. */
     public void clear() {
         attempts.clear();
     }
 
-    /** Attempts in flight now. */
+    /** Returns the number of attempts in flight. */
     public int inFlight(double now) {
         while (!attempts.isEmpty() && attempts.get(0).startedAt < now - maxAge) {
             attempts.remove(0);
@@ -59,17 +64,22 @@
         return attempts.size();
     }
 
-    /** Attempts of all sidecars that the upstream has served since this sidecar came to know it. */
+    /** Returns the number of attempts of all sidecars that the upstream has served since this instance was created. */
     public int servedCount() {
         return servedCount;
     }
 
-    /** Whether it has served an attempt, and none since that time; false where nothing is reported. */
+    /**
+     * Whether the upstream has served an attempt, but none since that time; false if none was ever reported as served.
+     */
     public boolean unansweredSince(double time) {
         return servedCount > 0 && servedAt < time;
     }
 
-    /** Seconds that the oldest attempt has been in flight with none served since it started; 0 if one was. */
+    /**
+     * Returns the seconds since the oldest attempt in flight started; 0 if any attempt has been served since then, or
+     * if none is in flight.
+     */
     public double unansweredFor(double now) {
         if (inFlight(now) == 0) {
             return 0;
--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -9,46 +9,51 @@
 import portrelay.model.UpstreamId;
 
 /**
- * Who is a member and in which zone, and when to ask for it. A sidecar tells its zone to one other at a time and is
- * answered with all zones that the other knows; only if none of those that it asked first knows any, as when all start
- * together, it tells all at once. Also sends and reads the attempt events of sidecars that share upstreams. The order
- * of {@link #members} is the same at all sidecars that know the same ones.
+ * Learns which sidecars are members and in which zones they are. A sidecar sends its zone to one other sidecar at a
+ * time, which replies with all zones that it knows. If the first ones do not reply, as when all sidecars start
+ * together, it broadcasts its zone to all. This class also sends and decodes the attempt events of sidecars that share
+ * upstreams. The order of {@link #members} is the same at all sidecars that know the same members. Not thread-safe.
  */
 public final class PeerMembership {
 
     /**
-     * What a sidecar reports of an attempt. DROPPED is an end that is neither success nor failure; LOST is of a request
-     * on a connection that had been idle and turned out to be closed.
+     * What a sidecar reports about an attempt. The ordinal of a constant is its code on the wire, so their order must
+     * not change.
      */
     public enum AttemptEvent {
+        /** The attempt was started. */
         STARTED,
+        /** The attempt ended and was served. */
         SERVED,
+        /** The attempt ended and failed. */
         FAILED,
+        /** The attempt ended with neither success nor failure. */
         DROPPED,
+        /** A request was lost on a connection that had been idle and turned out to be closed. */
         LOST
     }
 
     /**
-     * A report of another sidecar.
+     * A report from another sidecar.
      *
-     * @param event what happened
+     * @param event the reported event
      * @param code the upstream's position in the subset, or {@link #upstreamCode} by rendezvous; -1 for LOST
-     * @param tenant of an attempt that began in the subset; -1 for none
-     * @param measure for LOST the seconds that the connection was idle; for an end by rendezvous its duration ratio, as
-     *     {@link #sendAttemptEvent(AttemptEvent, int, double, List)} has it; else 0
+     * @param tenant the tenant of a started attempt within a subset; -1 for none
+     * @param measure for LOST the idle time of the connection in seconds; for the end of an attempt by rendezvous its
+     *     duration ratio, as in {@link #sendAttemptEvent(AttemptEvent, int, double, List)}; 0 for all others
      */
     public record AttemptReport(AttemptEvent event, int code, int tenant, double measure) implements PeerMessage {}
 
-    /** While too little is known of the members. */
+    /** Interval between two asks while too few members are known. */
     private static final double FIRST_ASK_INTERVAL_SECONDS = 0.05;
 
-    /** Else; the mean, as each sidecar has its own to keep them apart. */
+    /** Interval otherwise. This is the mean: each sidecar has an interval of its own, to keep the asks apart. */
     private static final double ASK_INTERVAL_SECONDS = 10;
-    /** After so many unanswered asks it is likely that all sidecars have just started and none can answer. */
+    /** After this many unanswered asks, all sidecars have probably just started and none can answer. */
     private static final int UNANSWERED_BEFORE_BROADCAST = 2;
-    /** With more sidecars a broadcast takes as long as spreading from one to the next. */
+    /** With more sidecars a broadcast takes as long as spreading zones from one sidecar to the next. */
     private static final int MAX_BROADCAST_SIDECARS = 1000;
-    /** A younger sidecar knows too little: whoever it answers would ask no further. */
+    /** A sidecar with less uptime knows too few zones to answer: the asking sidecar would stop asking others. */
     private static final double MIN_AGE_TO_ANSWER_SECONDS = 1;
 
     private final LoadBalancerActions actions;
@@ -61,15 +66,15 @@
     private int asksSent;
     private boolean wasAnswered;
     /**
-     * Whether a member has become known since the last ask. If so the next ask follows soon: guards against a fleet in
-     * which each sidecar knows only a part of the others.
+     * Whether a member or its zone has become known since the last ask; if so, the next ask follows soon. Guards
+     * against a fleet in which each sidecar knows only a part of the others.
      */
     private boolean hasLearned;
 
     private double receivedAt;
     private boolean hasChanged;
 
-    /** Begins to ask at the first {@link #advance}. */
+    /** Creates an instance that knows this sidecar only, and sends its first ask in the first {@link #advance}. */
     public PeerMembership(LoadBalancerActions actions, Topology topology, double now) {
         this.actions = actions;
         this.topology = topology;
@@ -81,41 +86,43 @@
         members.put(topology.sidecarIndex(), ownZone);
     }
 
-    /** The code by which sidecars that choose upstreams by rendezvous name one to each other. */
+    /**
+     * Returns the code that identifies an upstream in messages between sidecars that choose upstreams by rendezvous.
+     */
     public static int upstreamCode(UpstreamId id) {
         return PeerMessageCodec.upstreamCode(id);
     }
 
     // ---- Members ----------------------------------------------------------------------------------------
 
-    /** The other sidecars that use the same subset; attempt events go to them. */
+    /** Sets the other sidecars that use the same subset, to which attempt events are sent. */
     public void setSubsetPeers(List<Integer> sidecars) {
         subsetPeers = sidecars;
     }
 
-    /** Whether other sidecars may report attempts at this one's upstreams. */
+    /** Whether other sidecars may report attempts at the upstreams of this sidecar. */
     public boolean hasSubsetPeers() {
         return topology.rendezvousSubsets() || !subsetPeers.isEmpty();
     }
 
-    /** The zone code of each known sidecar, this one included; a live view. */
+    /** Returns the zone code of each known sidecar, including this one, as a live view. */
     public Map<Integer, Character> members() {
         return members;
     }
 
-    /** Whether less than half of the sidecars are known. */
+    /** Whether fewer than half of the sidecars are known. */
     public boolean isMinorityKnown() {
         return members.size() * 2 < topology.sidecarCount();
     }
 
-    /** Whether a member came or changed its zone since the last call. */
+    /** Whether a member was added or changed its zone since the last call. */
     public boolean takeChanged() {
         boolean changed = hasChanged;
         hasChanged = false;
         return changed;
     }
 
-    /** Asks another sidecar for all zones when it is time, each time another one. */
+    /** Asks another sidecar for all zones if an ask is due; varies the sidecar from one ask to the next. */
     public void advance(double now) {
         if (now < nextAskAt || topology.rendezvousSubsets()) {
             return;
@@ -134,7 +141,7 @@
         hasLearned = false;
     }
 
-    /** When {@link #advance} is to be called at the latest. */
+    /** Returns the time by which {@link #advance} has to be called. */
     public double nextWakeUp() {
         return topology.rendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
     }
@@ -144,14 +151,15 @@
     /**
      * Reports an attempt to the sidecars that share its upstream by rendezvous.
      *
-     * @param code {@link #upstreamCode}
-     * @param durationRatio with an end, the duration as a multiple of the class's typical one for each attempt that was
-     *     in flight there when this one began, itself included
+     * @param code the upstream's code, see {@link #upstreamCode}
+     * @param durationRatio for the end of an attempt: its duration as a multiple of the typical duration of its class,
+     *     divided by the number of attempts that were in flight at the upstream when it began, including itself
+     * @param sidecars the receivers; this sidecar is skipped
      */
     public void sendAttemptEvent(AttemptEvent event, int code, double durationRatio, List<Integer> sidecars) {
         String text = PeerMessageCodec.rendezvousEvent(event, code, durationRatio);
         if (sidecars.size() == topology.sidecarCount()) {
-            // One datagram instead of one to each.
+            // One broadcast datagram instead of one for each sidecar.
             actions.broadcastToPeers(text);
             return;
         }
@@ -162,12 +170,22 @@
         }
     }
 
-    /** Reports an attempt to the subset's peers; code is the upstream's position in the subset, tenant -1 for none. */
+    /**
+     * Reports an attempt to the peers of the subset.
+     *
+     * @param code the upstream's position in the subset
+     * @param tenant the tenant; -1 for none
+     */
     public void sendAttemptEvent(AttemptEvent event, int code, int tenant) {
         sendToSubset(PeerMessageCodec.subsetEvent(event, code, tenant));
     }
 
-    /** Reports that a request was lost on a connection that had been idle for so many seconds. */
+    /**
+     * Reports that a request was lost on a connection that had been idle.
+     *
+     * @param idleTime the idle time of the connection in seconds
+     * @param toAll whether to report to all sidecars rather than to the peers of the subset
+     */
     public void sendConnectionLost(double idleTime, boolean toAll) {
         String text = PeerMessageCodec.connectionLost(idleTime);
         if (toAll) {
@@ -179,15 +197,15 @@
 
     // ---- Receiving --------------------------------------------------------------------------------------
 
-    /** When a message of another sidecar came last, of whatever kind. */
+    /** Returns the time of the last message from another sidecar, of any kind; the start time if there was none. */
     public double lastReceivedAt() {
         return receivedAt;
     }
 
-    /** Reads a message. Returns a report of an attempt or a connection; null for anything else. */
+    /** Handles a message. Returns the report of an attempt or a lost connection; null for any other message. */
     public AttemptReport receive(int from, String text, double now) {
         if (from == topology.sidecarIndex()) {
-            // A broadcast may come back to its sender.
+            // A broadcast may be delivered to its sender too.
             return null;
         }
         receivedAt = now;
--- a/core/src/main/java/portrelay/gossip/PeerMessage.java
+++ b/core/src/main/java/portrelay/gossip/PeerMessage.java
@@ -1,11 +1,11 @@
 package portrelay.gossip;
 
-/** A message of another sidecar, as {@link PeerMessageCodec} read it. */
+/** A message from another sidecar, as decoded by {@link PeerMessageCodec}. */
 sealed interface PeerMessage permits PeerMessage.Hello, PeerMessage.Zones, PeerMembership.AttemptReport {
 
-    /** The sender's zone, by its code; whether it asks for the zones of all members. */
+    /** The code of the sender's zone, and whether the sender asks for the zones of all members. */
     record Hello(char zone, boolean asksForZones) implements PeerMessage {}
 
-    /** The zone codes of consecutive sidecars from the first one on. */
+    /** The zone codes of consecutive sidecars, starting with the first. */
     record Zones(int firstSidecar, String codes) implements PeerMessage {}
 }
--- a/core/src/main/java/portrelay/gossip/Rendezvous.java
+++ b/core/src/main/java/portrelay/gossip/Rendezvous.java
@@ -5,15 +5,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1996): which sidecars use a key's upstream. The choice is the same at
- * each sidecar, and one sidecar more or less changes the choice only where it is chosen itself. The sets of two keys
- * may overlap.
+ * Rendezvous hashing (Thaler and Ravishankar, 1996): chooses the sidecars that use the upstream of a key. All sidecars
+ * make the same choice, and adding or removing a sidecar changes only the choices that include that sidecar. The sets
+ * of two keys may overlap.
  */
 public final class Rendezvous {
 
     private Rendezvous() {}
 
-    /** Up to {@code limit} of the sidecars 0 to {@code count - 1}, by ascending hash for the key. */
+    /** Returns up to {@code limit} of the sidecars 0 to {@code count - 1}, by ascending hash for the key. */
     public static List<Integer> choose(int key, int count, int limit) {
         return IntStream.range(0, count)
                 .boxed()
@@ -22,7 +22,7 @@
                 .toList();
     }
 
-    /** Spreads numbers evenly over 0 to 1, the same way at all sidecars. */
+    /** Returns a hash of the number, evenly distributed from 0 to 1 and the same at all sidecars. */
     static double hashToUnit(int number) {
         int hash = (number + 1) * 0x9E3779B9;
         hash = (hash ^ hash >>> 15) * 0x85EBCA6B;
--- a/core/src/main/java/portrelay/gossip/SubsetAssignment.java
+++ b/core/src/main/java/portrelay/gossip/SubsetAssignment.java
@@ -11,21 +11,32 @@
 import portrelay.model.Endpoint;
 
 /**
- * Cuts the upstreams into segments and assigns each sidecar one. Sidecars that know the same endpoints and the same
- * members come to the same result without agreement. Immutable after construction.
+ * Divides the upstreams into segments and assigns one segment to each sidecar. Sidecars that know the same endpoints
+ * and the same members compute the same result without coordination. Immutable after construction.
  */
 public final class SubsetAssignment {
 
-    /** An upstream; size is its capacity when idle, relative to the others. */
+    /**
+     * An upstream with its size.
+     *
+     * @param endpoint the endpoint of the upstream
+     * @param size the upstream's capacity when idle, relative to the other upstreams
+     */
     public record UpstreamSlot(Endpoint endpoint, double size) {}
 
-    /** Upstreams of one cell, by their positions in the list of slots, the largest first; size is their sum. */
+    /**
+     * A group of upstreams of one cell.
+     *
+     * @param zone the zone code of the cell
+     * @param seats positions of the upstreams in the list of slots, the largest upstream first
+     * @param size sum of the sizes of the upstreams
+     */
     public record Segment(char zone, List<Integer> seats, double size) {}
 
-    /** Upstreams that a segment has where its cell has as many: a retry or hedge needs another one. */
+    /** Minimum upstreams of a segment if its cell has as many, as a retry or hedge needs another upstream. */
     private static final int MIN_UPSTREAMS = 2;
 
-    /** A zone whose own members take all its capacity still counts with this share of it for members of other zones. */
+    /** Minimum share of a zone's capacity for members of other zones, even if its own members need all of it. */
     private static final double MIN_FREE_SHARE = 0.01;
 
     private final List<UpstreamSlot> slots;
@@ -33,8 +44,11 @@
     private final List<Segment> segments = new ArrayList<>();
 
     /**
-     * At most {@code maxSidecarsPerSegment} of the sidecars share a segment on average, where there are upstreams
-     * enough.
+     * Divides the upstreams into segments.
+     *
+     * @param sidecars the number of sidecars of the fleet
+     * @param maxSidecarsPerSegment maximum average number of sidecars that share a segment; exceeded if there are too
+     *     few upstreams
      */
     public SubsetAssignment(List<UpstreamSlot> slots, int sidecars, int maxSidecarsPerSegment) {
         this.slots = slots;
@@ -42,14 +56,18 @@
         cutIntoSegments(sidecars, maxSidecarsPerSegment);
     }
 
-    /** At least one where there is an upstream. */
+    /** Returns the segments; at least one if there is an upstream. */
     public List<Segment> segments() {
         return segments;
     }
 
     /**
-     * Assigns each member a segment. A zone keeps as many of its own members as its size allows, in the order of the
-     * members; the others go where capacity is left. While few members are known all stay in their zones.
+     * Returns the segment of each member. A zone keeps as many of its own members as its size allows, in the order of
+     * the members; the others are assigned to zones with free capacity. While few members are known, each stays in its
+     * own zone if that zone has a segment.
+     *
+     * @param members the zone code of each member
+     * @param fewKnown whether few members are known
      */
     public Map<Integer, Segment> assign(Map<Integer, Character> members, boolean fewKnown) {
         Map<Character, Double> places = new TreeMap<>();
@@ -76,7 +94,10 @@
         return assignment;
     }
 
-    /** By cell, as upstreams deduplicate within one; a cell that too many would share is cut into equal segments. */
+    /**
+     * Creates the segments, each within one cell, as upstreams deduplicate requests within their cell. A cell that too
+     * many sidecars would share is divided into segments of about equal size.
+     */
     private void cutIntoSegments(int sidecars, int maxSidecarsPerSegment) {
         TreeMap<Long, List<Integer>> cells = new TreeMap<>();
         for (int i = 0; i < slots.size(); i++) {
@@ -100,8 +121,8 @@
     }
 
     /**
-     * How many segments the cell is cut into: enough that few sidecars share one, but so that each has upstreams
-     * enough; in any case enough that the codes of a subset suffice.
+     * Returns the number of segments of the cell: enough that few sidecars share one, but few enough that each has the
+     * minimum of upstreams; in any case enough that no segment has more upstreams than there are codes in a subset.
      */
     private int segmentCount(List<Integer> cell, int sidecars, int maxSidecarsPerSegment) {
         double sharing = sidecars * size(cell) / totalSize;
@@ -121,7 +142,7 @@
         return segment.size * Math.max(MIN_FREE_SHARE, 1 - taken);
     }
 
-    /** The segment at a share, 0 to 1, of all segments' weights laid end to end. */
+    /** Returns the segment at the given share, 0 to 1, of the cumulative weight of all segments. */
     private Segment at(double share, ToDoubleFunction<Segment> weight) {
         double left = share * segments.stream().mapToDouble(weight).sum();
         for (Segment segment : segments) {
--- a/core/src/test/java/portrelay/admission/AdmissionControllerTest.java
+++ b/core/src/test/java/portrelay/admission/AdmissionControllerTest.java
@@ -17,7 +17,7 @@
 import portrelay.settings.InvalidSettingException;
 import portrelay.settings.JsonFields;
 
-/** Admission control in virtual time before a fleet with a fixed number of places and a fixed service time. */
+/** Tests admission control in virtual time, with a fleet of fixed capacity and fixed service time. */
 class AdmissionControllerTest {
 
     private static final int PLACES = 10;
@@ -28,7 +28,10 @@
 
     private record Event(double time, long order, Runnable action) {}
 
-    /** A clock, a fleet of PLACES, and clients that honour Retry-After if told to. */
+    /**
+     * A controller with a virtual clock, a fleet that serves PLACES requests at once, and clients that may honour
+     * Retry-After.
+     */
     private static final class World implements AdmissionActions {
         final AdmissionController admission;
         final PriorityQueue<Event> events = new PriorityQueue<>(
@@ -82,7 +85,7 @@
 
         @Override
         public void admit(RequestId request) {
-            assertTrue(now <= waitUntil.get(request) + 1e-9, "admitted after the end of its wait");
+            assertTrue(now <= waitUntil.get(request) + 1e-9, "admitted after the end of its maximum wait");
             admitted.merge(tenantOf.get(request), 1, Integer::sum);
             at(now + SERVICE_SECONDS, () -> admission.requestAnswered(now, request));
         }
@@ -127,7 +130,7 @@
                 ConnectionCapacityConfig.DEFAULTS);
     }
 
-    /** The fleet serves 200 a second; the loud tenant sends three times its share of them. */
+    /** The fleet serves 200 requests per second. Tenant 0 sends 300 per second, three times its share. */
     @Test
     void keepsAQuietTenantsShareWhileAnotherSendsThreeTimesItsOwn() {
         World world = new World(config(1024, 64));
@@ -137,11 +140,13 @@
         world.run(60);
         double quietShare = world.admitted.get(1) / 60.0 / FLEET_PER_SECOND;
         assertEquals(0.5, quietShare, 0.05);
-        assertTrue(world.rejected.getOrDefault(1, 0) < 0.1 * world.admitted.get(1), "rejected " + world.rejected);
+        assertTrue(
+                world.rejected.getOrDefault(1, 0) < 0.1 * world.admitted.get(1),
+                "rejected by tenant: " + world.rejected);
         assertTrue(world.admitted.get(0) > 0.9 * 60 * FLEET_PER_SECOND / 2);
     }
 
-    /** A thousand retries of one tenant in 10 ms. */
+    /** Tenant 0 sends a thousand retries within 10 ms. */
     @Test
     void aRetryStormOfOneTenantRejectsNothingOfAnother() {
         World world = new World(config(256, 64));
@@ -157,7 +162,7 @@
         assertEquals(0, world.admission.queuedCount() + world.admission.inFlightCount());
     }
 
-    /** 10,000 clients, each a flow of its own, arrive within a second and leave 0.1 s later. */
+    /** 10,000 clients, each with a flow of its own, arrive within a second and disconnect 0.1 s later. */
     @Test
     void aFloodOfNewClientsStaysWithinTheBoundAndLeavesNoState() {
         World world = new World(new AdmissionConfig(
@@ -188,7 +193,7 @@
         assertTrue(world.admitted.get(1) >= 190, "of 200 regular requests " + world.admitted.get(1) + " were admitted");
     }
 
-    /** Half of the queued requests are abandoned. */
+    /** The clients of half of the requests disconnect if their request is still queued. */
     @Test
     void anAbandonedRequestLeavesNoState() {
         World world = new World(config(1024, 64));
@@ -213,7 +218,7 @@
         assertTrue(world.admission.countersByTenant().values().stream().allMatch(counters -> counters.queued() == 0));
     }
 
-    /** Shutdown while requests are queued. */
+    /** Covers a shutdown while requests are queued. */
     @Test
     void closingRejectsAllQueuedAndAdmitsNoMore() {
         World world = new World(config(1024, 64));
@@ -230,7 +235,7 @@
         assertEquals(0, world.admission.inFlightCount());
     }
 
-    /** A client that comes back at its Retry-After is admitted in at least nine cases of ten. */
+    /** At least nine of ten requests that come at their Retry-After are admitted. */
     @Test
     void aRetryAfterIsHonouredInNineCasesOfTen() {
         World world = new World(config(256, 64));
@@ -241,8 +246,8 @@
         world.run(40);
         for (int tenant = 0; tenant < 2; tenant++) {
             TenantCounters counters = world.admission.countersByTenant().get(new TenantId(tenant));
-            assertTrue(counters.retryAfterGiven() > 500, "given " + counters.retryAfterGiven());
-            assertTrue(counters.retryAfterHonoured() > 100, "none was honoured: " + counters);
+            assertTrue(counters.retryAfterGiven() > 500, "Retry-After given: " + counters.retryAfterGiven());
+            assertTrue(counters.retryAfterHonoured() > 100, "too few Retry-After times were honoured: " + counters);
             assertTrue(
                     counters.retryAfterHonoured()
                             >= 0.9 * (counters.retryAfterHonoured() + counters.retryAfterMissed()),
@@ -250,7 +255,8 @@
         }
         assertTrue(world.retryAfters.stream().allMatch(each -> each <= MAX_RETRY_AFTER_SECONDS));
         assertTrue(
-                world.retryAfters.stream().filter(each -> each > 0).distinct().count() > 500, "given without jitter");
+                world.retryAfters.stream().filter(each -> each > 0).distinct().count() > 500,
+                "too few distinct Retry-After times: given without jitter");
     }
 
     @Test
--- a/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
+++ b/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Evictions against a plain map of all connections and their phases, and rule by rule. */
+/** Tests evictions against a map of all connections and their phases as reference, and rule by rule. */
 class ConnectionCapacityTest {
 
     private static final int LIMIT = 8;
@@ -55,7 +55,9 @@
             }
             boolean someMayBeEvicted = expected.values().stream()
                     .anyMatch(p -> p != ConnectionCapacity.Phase.ASKED && p != ConnectionCapacity.Phase.ANSWERING);
-            assertTrue(expected.size() <= LIMIT || !someMayBeEvicted, "over the limit though " + expected);
+            assertTrue(
+                    expected.size() <= LIMIT || !someMayBeEvicted,
+                    "over the limit though a connection may be evicted: " + expected);
             assertEquals(expected.size(), capacity.count());
         }
     }
@@ -78,7 +80,7 @@
         assertNull(capacity.underPressure(4.3, 0));
     }
 
-    /** Guards against closing a new connection before its first bytes have come. */
+    /** Guards against closing a new connection before its first bytes have arrived. */
     @Test
     void evictsTheNewestOnlyIfNoOtherMayBeEvicted() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
@@ -90,7 +92,7 @@
         assertEquals(id(1), capacity.underPressure(0.01, 1).id());
     }
 
-    /** Guards against idle connections that exhaust the connection limit of callers. */
+    /** Guards against idle connections that use up the connection limit of callers. */
     @Test
     void keepsAsManyIdleAsWereLatelyUsedAtOnce() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
@@ -100,11 +102,11 @@
         }
         for (int i = 0; i < 40; i++) {
             capacity.phaseChanged(0.01, id(i), ConnectionCapacity.Phase.IDLE);
-            assertNull(capacity.surplus(0.9), "40 were in use a moment ago");
+            assertNull(capacity.surplus(0.9), "40 connections were in use within the last second");
         }
         capacity.opened(2, id(100));
         capacity.phaseChanged(2, id(100), ConnectionCapacity.Phase.ASKED);
-        assertNull(capacity.surplus(0.1), "it has only just become idle");
+        assertNull(capacity.surplus(0.1), "connection has been idle for less than the minimum idle time");
         assertEquals(id(0), capacity.surplus(2).id());
         int evicted = 0;
         for (ConnectionCapacity.Eviction eviction = capacity.surplus(2);
--- a/core/src/test/java/portrelay/admission/FairQueueTest.java
+++ b/core/src/test/java/portrelay/admission/FairQueueTest.java
@@ -15,7 +15,7 @@
 import portrelay.model.RequestClassId;
 import portrelay.model.RequestId;
 
-/** The fair queue against a plain, slow fluid server, and its bounds. */
+/** Tests the fair queue against a simple, slow fluid server as reference, and its bounds. */
 class FairQueueTest {
 
     private static final int FLOWS = 5;
@@ -30,7 +30,7 @@
         return 1 + flow % 3;
     }
 
-    /** Divides each unit of work among the flows with work left, by weight. */
+    /** Reference implementation: divides each unit of work by weight among the flows that have work left. */
     private static final class FluidServer {
         private final double[] served = new double[FLOWS];
         private final double[] left = new double[FLOWS];
@@ -82,7 +82,8 @@
             for (int i = 0; i < FLOWS; i++) {
                 assertTrue(
                         Math.abs(served[i] - fluid.served[i]) <= MAX_WORK + 1e-6,
-                        "flow " + i + " was served " + served[i] + ", by the fluid server " + fluid.served[i]);
+                        "flow " + i + " was served " + served[i] + " by the queue; by the fluid server "
+                                + fluid.served[i]);
             }
         }
     }
@@ -127,7 +128,7 @@
         while (queue.next() != null) {
             assertTrue(queue.size() >= 0);
         }
-        assertEquals(0, queue.flows(), "flows are kept though none is queued");
+        assertEquals(0, queue.flows(), "flows are kept though no request is queued");
     }
 
     @Test
--- a/core/src/test/java/portrelay/admission/RetryAfterSchedulerTest.java
+++ b/core/src/test/java/portrelay/admission/RetryAfterSchedulerTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Reservations: their spacing, who redeems them, when they expire, and their bounds. */
+/** Tests the spacing, redemption, expiry and bounds of reservations. */
 class RetryAfterSchedulerTest {
 
     private static final FlowId FLOW = new FlowId("a");
@@ -21,8 +21,8 @@
     void reservesSpacedTimesBehindTheQueue() {
         double first = scheduler.reserve(10, FLOW, 0.5, 0.2);
         double second = scheduler.reserve(10, FLOW, 0.5, 0.2);
-        assertTrue(first >= 0.5 && first <= 0.6, "first after " + first);
-        assertTrue(second >= first + 0.2 && second <= first + 0.3 + 1e-9, "second after " + second);
+        assertTrue(first >= 0.5 && first <= 0.6, "first Retry-After " + first);
+        assertTrue(second >= first + 0.2 && second <= first + 0.3 + 1e-9, "second Retry-After " + second);
         assertEquals(2, scheduler.reservations());
     }
 
@@ -44,14 +44,14 @@
     @Test
     void aReservationIsRedeemedOnceAndByItsOwnFlow() {
         double due = 10 + scheduler.reserve(10, FLOW, 0.5, 0.1);
-        assertFalse(scheduler.redeem(due - 0.1, FLOW, false), "too early");
+        assertFalse(scheduler.redeem(due - 0.1, FLOW, false), "redeemed too early");
         assertFalse(scheduler.redeem(due, new FlowId("b"), false));
         assertTrue(scheduler.redeem(due, FLOW, false));
-        assertFalse(scheduler.redeem(due, FLOW, false), "twice");
+        assertFalse(scheduler.redeem(due, FLOW, false), "redeemed twice");
         assertEquals(0, scheduler.reservations());
     }
 
-    /** Guards against new requests of a flow that use up the reservations of its retries. */
+    /** Guards against new requests of a flow using up the reservations of its retries. */
     @Test
     void aFlowThatMarksRetriesRedeemsWithThemAlone() {
         double due = 10 + scheduler.reserve(10, FLOW, 0.5, 0.1);
--- a/core/src/test/java/portrelay/admission/ReturningClientsTest.java
+++ b/core/src/test/java/portrelay/admission/ReturningClientsTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which clients have a flow of their own, and that neither table is without bound. */
+/** Tests which clients have a flow of their own, and that the maps of new and of returning clients are bounded. */
 class ReturningClientsTest {
 
     private final ReturningClients clients = new ReturningClients(2);
@@ -32,14 +32,14 @@
     void aClientThatWasAdmittedAndComesLaterHasItsOwnFlow() {
         AdmissionRequest request = request("a");
         clients.assignFlow(0, request);
-        assertNotEquals(request, clients.assignFlow(5, request), "it was never admitted");
+        assertNotEquals(request, clients.assignFlow(5, request), "the client was never admitted");
         clients.admitted(5, request.flow());
-        assertNotEquals(request, clients.assignFlow(5.9, request), "too soon");
+        assertNotEquals(request, clients.assignFlow(5.9, request), "too soon after the first admitted request");
         assertSame(request, clients.assignFlow(6, request));
         assertSame(request, clients.assignFlow(6, request));
     }
 
-    /** Guards against a flood of new clients that makes returning ones new again. */
+    /** Guards against a flood of new clients that evicts returning clients, which would be new again. */
     @Test
     void newClientsDoNotPushOutReturningOnes() {
         AdmissionRequest request = request("a");
@@ -49,7 +49,7 @@
             clients.admitted(1, new FlowId("c" + i));
         }
         assertSame(request, clients.assignFlow(2, request));
-        assertNotEquals(request("c0"), clients.assignFlow(3, request("c0")), "forgotten as the oldest");
+        assertNotEquals(request("c0"), clients.assignFlow(3, request("c0")), "should have been evicted as the oldest");
         assertEquals(request("c999"), clients.assignFlow(3, request("c999")));
     }
 }
--- a/core/src/test/java/portrelay/gossip/PeerInFlightTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerInFlightTest.java
@@ -6,13 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Attempts in flight by peers' reports, where messages are lost, late, duplicated or of another process. */
+/** Tests the attempts in flight by reports of peers that are lost, late, duplicated or from before a restart. */
 class PeerInFlightTest {
 
     private static final double MAX_AGE_SECONDS = 2.7;
     private final PeerInFlight peers = new PeerInFlight(MAX_AGE_SECONDS);
 
-    /** Guards against forgetting a hanging attempt before its deadline: its upstream would look idle to the fleet. */
+    /** Guards against removing a hanging attempt before its deadline: its upstream would look idle to the fleet. */
     @Test
     void aHangingAttemptCountsUntilTheLongestDeadlineAndNoLonger() {
         peers.attemptStarted(1, 100);
@@ -32,10 +32,11 @@
         assertFalse(peers.attemptEnded(3, PeerMembership.AttemptEvent.FAILED, 100.2));
         peers.attemptStarted(3, 100.3);
         assertEquals(2, peers.inFlight(100.4));
-        assertEquals(0, peers.inFlight(103.1), "the one whose end came first is forgotten at the deadline");
+        assertEquals(
+                0, peers.inFlight(103.1), "the attempt whose end came before its start is removed at the deadline");
     }
 
-    /** A restarted upstream has nothing in flight, and later ends of its old attempts say nothing. */
+    /** A restarted upstream has nothing in flight, and ends of attempts from before the restart are ignored. */
     @Test
     void aRestartEndsAllAttempts() {
         peers.attemptStarted(1, 100);
@@ -46,7 +47,7 @@
 
     @Test
     void isUnansweredOnlyWhileNoAttemptIsServed() {
-        assertFalse(peers.unansweredSince(100), "nothing was ever reported");
+        assertFalse(peers.unansweredSince(100), "no attempt was ever reported");
         peers.attemptStarted(1, 100);
         peers.attemptEnded(1, PeerMembership.AttemptEvent.SERVED, 100.1);
         assertFalse(peers.unansweredSince(100.05));
@@ -55,6 +56,6 @@
         peers.attemptStarted(2, 100.3);
         assertEquals(0.8, peers.unansweredFor(101), 1e-9);
         peers.attemptEnded(2, PeerMembership.AttemptEvent.SERVED, 101);
-        assertEquals(0, peers.unansweredFor(101.1), "another one was served: it works, if slowly");
+        assertEquals(0, peers.unansweredFor(101.1), "another attempt was served: the upstream works, if slowly");
     }
 }
--- a/core/src/test/java/portrelay/gossip/PeerMembershipTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerMembershipTest.java
@@ -13,7 +13,7 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** How the zones of many sidecars spread, in virtual time. */
+/** Tests in virtual time how sidecars learn each other's zones. */
 class PeerMembershipTest {
 
     private static final double DELAY_SECONDS = 0.02;
@@ -104,7 +104,7 @@
         assertEquals(60, broadcasts);
     }
 
-    /** Above a thousand sidecars nobody broadcasts: zones spread from one to the next. */
+    /** With over a thousand sidecars none broadcasts: zones spread from one sidecar to the next. */
     @Test
     void aLargeFleetLearnsOfEachOtherWithoutBroadcast() {
         List<PeerMembership> all = started(1100, 0);
@@ -112,6 +112,6 @@
         assertEquals(0, broadcasts);
         long complete =
                 all.stream().filter(each -> each.members().size() == 1100).count();
-        assertTrue(complete > 1000, complete + " of 1100 know all");
+        assertTrue(complete > 1000, complete + " of 1100 sidecars know all zones");
     }
 }
--- a/core/src/test/java/portrelay/gossip/PeerWireTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerWireTest.java
@@ -15,7 +15,7 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** The characters of peer messages: sidecars of different versions run beside each other, so none may change. */
+/** Pins the characters of peer messages: sidecars of different versions run side by side, so none may change. */
 class PeerWireTest {
 
     private final List<String> sent = new ArrayList<>();
--- a/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
+++ b/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
@@ -16,14 +16,14 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** How upstreams are cut into segments, and how sidecars are spread over them. */
+/** Tests how upstreams are divided into segments, and how sidecars are assigned to them. */
 class SubsetAssignmentTest {
 
     private static final int SIDECARS = 40;
     private static final int MAX_SIDECARS_PER_SEGMENT = 14;
     private static final int ZONES = 2;
 
-    /** Upstreams of one size, in as many cells and zones as said. */
+    /** Returns an assignment of upstreams of equal size, with {@link #ZONES} zones of one cell each. */
     private static SubsetAssignment assignment(int upstreams) {
         List<SubsetAssignment.UpstreamSlot> slots = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
@@ -40,7 +40,7 @@
         return new SubsetAssignment(slots, SIDECARS, MAX_SIDECARS_PER_SEGMENT);
     }
 
-    /** The first {@code ofFirstZone} sidecars are in zone 0, the others in zone 1. */
+    /** Returns members of which the first {@code ofFirstZone} are in zone 0 and the others in zone 1. */
     private static Map<Integer, Character> members(int ofFirstZone) {
         Map<Integer, Character> members = new TreeMap<>(Comparator.comparing(Rendezvous::hashToUnit));
         for (int i = 0; i < SIDECARS; i++) {
@@ -57,7 +57,7 @@
     @Test
     void eachUpstreamIsInOneSegmentOfItsCell() {
         List<SubsetAssignment.Segment> segments = assignment(12).segments();
-        assertEquals(4, segments.size(), "20 sidecars a cell, at most 14 a segment");
+        assertEquals(4, segments.size(), "20 sidecars per cell, at most 14 per segment");
         List<Integer> seats = segments.stream()
                 .flatMap(each -> each.seats().stream())
                 .sorted()
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Guards against upstreams of one segment that share a code on the wire. */
+    /** Guards against two upstreams of a segment sharing a code on the wire. */
     @Test
     void aSegmentHasNoMoreUpstreamsThanCodes() {
         for (SubsetAssignment.Segment each : assignment(400).segments()) {
