--- a/core/src/main/java/portrelay/admission/AdmissionController.java
+++ b/core/src/main/java/portrelay/admission/AdmissionController.java
@@ -56,7 +56,7 @@
     /** Queued requests by the end of their maximum wait, the earliest first. */
     private final TreeSet<OpenRequest> byWaitEnd =
             new TreeSet<>(Comparator.<OpenRequest>comparingDouble(open -> open.request.waitUntil())
-                    .thenComparingLong(open -> open.order));
+                    .thenComparingLong(open -> open.arrivalOrder));
 
     private final ServiceTimes serviceTimes = new ServiceTimes();
     private final Map<TenantId, TenantCounters> counters = new HashMap<>();
@@ -151,7 +151,7 @@
      * Returns the mean time from admission to answer of the last requests of the class, in seconds, for use as
      * {@link AdmissionRequest#work}.
      */
-    public double typicalWork(RequestClassId requestClass) {
+    public double expectedWork(RequestClassId requestClass) {
         return serviceTimes.mean(requestClass);
     }
 
@@ -167,7 +167,7 @@
 
     /** Returns the number of reserved Retry-After times that are neither redeemed nor expired. */
     public int openRetryAfterCount() {
-        return retryAfter.reservations();
+        return retryAfter.reservationCount();
     }
 
     /** Returns the counters of each tenant as a read-only live view. The key is null for requests without a tenant. */
@@ -186,7 +186,7 @@
     private Input enqueue(OpenRequest open) {
         AdmissionRequest request = open.request;
         open.honoursRetryAfter = retryAfter.redeem(now, request.flow(), request.retriedByClient());
-        double workAhead = open.honoursRetryAfter ? 0 : queue.workOf(request.flow());
+        double workAhead = open.honoursRetryAfter ? 0 : queue.queuedWorkOf(request.flow());
         byWaitEnd.add(open);
         countersOf(open).queuedChanged(1);
         List<AdmissionRequest> evicted = queue.add(request, open.honoursRetryAfter);
@@ -203,7 +203,7 @@
         dequeue(open);
         double seconds = 0;
         if (rate.workPerSecond(now) > 0 && !closed) {
-            double drainTime = secondsToAdmit(request, queue.workOf(request.flow()));
+            double drainTime = secondsToAdmit(request, queue.queuedWorkOf(request.flow()));
             seconds = retryAfter.reserve(now, request.flow(), drainTime, secondsToAdmit(request, request.work()));
         }
         countersOf(open).rejected(open.honoursRetryAfter, seconds > 0);
--- a/core/src/main/java/portrelay/admission/ConnectionCapacity.java
+++ b/core/src/main/java/portrelay/admission/ConnectionCapacity.java
@@ -57,11 +57,11 @@
     private static final class Connection {
         private Phase phase = Phase.SILENT;
         /** When the connection entered its phase. */
-        private double since;
+        private double phaseSince;
     }
 
     /** In a rule by age alone. */
-    private static final double NO_SHARE = Double.POSITIVE_INFINITY;
+    private static final double NO_SHARE_LIMIT = Double.POSITIVE_INFINITY;
     /** The peak of connections that await a response covers the last second, in windows of this length. */
     private static final double PEAK_WINDOW_SECONDS = 0.25;
 
@@ -96,10 +96,10 @@
         timeouts.put(Phase.SENDING, config.sendTimeout());
         timeouts.put(Phase.ANSWERING, config.readTimeout());
         evictionRules = List.of(
-                new EvictionRule(Phase.SILENT, config.firstByteTimeout(), NO_SHARE),
-                new EvictionRule(Phase.SENDING, config.sendTimeout() / 2, NO_SHARE),
-                new EvictionRule(Phase.ANSWERING, config.readTimeout() / 2, NO_SHARE),
-                new EvictionRule(Phase.IDLE, config.idleTimeout(), NO_SHARE),
+                new EvictionRule(Phase.SILENT, config.firstByteTimeout(), NO_SHARE_LIMIT),
+                new EvictionRule(Phase.SENDING, config.sendTimeout() / 2, NO_SHARE_LIMIT),
+                new EvictionRule(Phase.ANSWERING, config.readTimeout() / 2, NO_SHARE_LIMIT),
+                new EvictionRule(Phase.IDLE, config.idleTimeout(), NO_SHARE_LIMIT),
                 new EvictionRule(Phase.SILENT, 0, config.silentShare()),
                 new EvictionRule(Phase.SENDING, 0, config.sendingShare()),
                 new EvictionRule(Phase.IDLE, 0, 0),
@@ -114,7 +114,7 @@
      */
     public void opened(double now, ClientId id) {
         Connection connection = new Connection();
-        connection.since = now;
+        connection.phaseSince = now;
         if (connections.put(id, connection) != null) {
             throw new IllegalStateException("a connection of this id is open: " + id);
         }
@@ -130,10 +130,10 @@
         }
         byPhase.get(connection.phase).remove(id);
         connection.phase = phase;
-        connection.since = now;
+        connection.phaseSince = now;
         byPhase.get(phase).add(id);
         if (phase == Phase.ASKED) {
-            recordAwaiting(now);
+            recordAwaitingPeak(now);
         }
     }
 
@@ -170,13 +170,13 @@
     }
 
     /** Returns the connections in the phases, phase by phase, the longest in a phase first. */
-    public List<ClientId> in(Phase... phases) {
+    public List<ClientId> connectionsIn(Phase... phases) {
         return Stream.of(phases).flatMap(each -> byPhase.get(each).stream()).toList();
     }
 
     /** Returns the connections that have been silent or idle for at least {@code minAge} seconds. */
-    public List<ClientId> silentFor(double now, double minAge) {
-        return in(Phase.SILENT, Phase.IDLE).stream()
+    public List<ClientId> inactiveFor(double now, double minAge) {
+        return connectionsIn(Phase.SILENT, Phase.IDLE).stream()
                 .filter(each -> age(now, each) >= minAge)
                 .toList();
     }
@@ -213,7 +213,7 @@
      * Returns the first connection to close if more are open than the limit; null if not, or if none may be closed. The
      * newest connection is returned only if no other may be closed, as its first bytes are probably in transit.
      */
-    public Eviction underPressure(double now, int limit) {
+    public Eviction overLimit(double now, int limit) {
         if (connections.size() <= limit) {
             return null;
         }
@@ -221,7 +221,7 @@
         for (EvictionRule rule : evictionRules) {
             ClientId oldest = oldest(rule.phase);
             boolean isOld = oldest != null && rule.minAge > 0 && age(now, oldest) > rule.minAge;
-            boolean isOverShare = rule.share < NO_SHARE && count(rule.phase) > rule.share * limit;
+            boolean isOverShare = rule.share < NO_SHARE_LIMIT && count(rule.phase) > rule.share * limit;
             if (oldest != null && (isOld || isOverShare)) {
                 Eviction eviction = new Eviction(oldest, rule.phase, Cause.MADE_WAY);
                 if (!oldest.equals(newest)) {
@@ -233,7 +233,7 @@
         return lastResort;
     }
 
-    private void recordAwaiting(double now) {
+    private void recordAwaitingPeak(double now) {
         long window = (long) (now / PEAK_WINDOW_SECONDS);
         for (long i = Math.max(currentWindow + 1, window - PEAK_WINDOWS + 1); i <= window; i++) {
             awaitingPeaks[(int) (i % PEAK_WINDOWS)] = 0;
@@ -249,6 +249,6 @@
     }
 
     private double age(double now, ClientId id) {
-        return now - connections.get(id).since;
+        return now - connections.get(id).phaseSince;
     }
 }
--- a/core/src/main/java/portrelay/admission/FairQueue.java
+++ b/core/src/main/java/portrelay/admission/FairQueue.java
@@ -57,13 +57,13 @@
     private final Map<FlowId, Flow> flows = new HashMap<>();
     private final Map<RequestId, Entry> entries = new HashMap<>();
     /** Flows whose first queued request the fluid server has started, by its virtual finish time. */
-    private final TreeSet<Flow> eligible = new TreeSet<>(by(flow -> flow.finish));
+    private final TreeSet<Flow> eligible = new TreeSet<>(comparingBy(flow -> flow.finish));
     /** The other flows with queued requests, by the first one's virtual start time. */
-    private final TreeSet<Flow> ineligible = new TreeSet<>(by(flow -> flow.start));
+    private final TreeSet<Flow> ineligible = new TreeSet<>(comparingBy(flow -> flow.start));
     /** Flows with work left in the fluid server, by their virtual finish time there. */
-    private final TreeSet<Flow> inFluid = new TreeSet<>(by(flow -> flow.fluidFinish));
+    private final TreeSet<Flow> inFluid = new TreeSet<>(comparingBy(flow -> flow.fluidFinish));
     /** Flows with queued requests, by queued work divided by weight. */
-    private final TreeSet<Flow> byBacklog = new TreeSet<>(by(flow -> flow.queuedWork / flow.weight));
+    private final TreeSet<Flow> byBacklog = new TreeSet<>(comparingBy(flow -> flow.queuedWork / flow.weight));
 
     private double virtualTime;
     /** Sum of the weights of the flows in the fluid server. */
@@ -89,12 +89,12 @@
         return bytes;
     }
 
-    int flows() {
+    int flowCount() {
         return flows.size();
     }
 
     /** Returns the queued work of the flow that a request with this flow id would join. */
-    double workOf(FlowId id) {
+    double queuedWorkOf(FlowId id) {
         Flow flow = flows.get(ownOrSharedId(id));
         return flow == null ? 0 : flow.queuedWork;
     }
@@ -176,7 +176,7 @@
         return request;
     }
 
-    private static Comparator<Flow> by(ToDoubleFunction<Flow> key) {
+    private static Comparator<Flow> comparingBy(ToDoubleFunction<Flow> key) {
         return Comparator.comparingDouble(key).thenComparingLong(flow -> flow.order);
     }
 
--- a/core/src/main/java/portrelay/admission/OpenRequest.java
+++ b/core/src/main/java/portrelay/admission/OpenRequest.java
@@ -22,16 +22,16 @@
     final FlowId clientFlow;
 
     /** Ascending in order of arrival; breaks ties between equal times. */
-    final long order;
+    final long arrivalOrder;
     /** Whether the request came at a reserved Retry-After time. */
     boolean honoursRetryAfter;
 
     double admittedAt;
 
-    OpenRequest(AdmissionRequest request, FlowId clientFlow, long order) {
+    OpenRequest(AdmissionRequest request, FlowId clientFlow, long arrivalOrder) {
         super(State.NEW);
         this.request = request;
         this.clientFlow = clientFlow;
-        this.order = order;
+        this.arrivalOrder = arrivalOrder;
     }
 }
--- a/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
+++ b/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
@@ -39,7 +39,7 @@
     private final double maxRetryAfter;
     private final int maxReservations;
     private final Map<FlowId, FlowReservations> flows = new HashMap<>();
-    private int reservations;
+    private int reservationCount;
     private double nextExpiryAt = Double.NEGATIVE_INFINITY;
 
     /**
@@ -63,39 +63,39 @@
      */
     double reserve(double now, FlowId flow, double drainTime, double spacing) {
         removeExpired(now);
-        FlowReservations reserved = flows.get(flow);
-        double last = reserved == null ? Double.NEGATIVE_INFINITY : reserved.lastDueAt;
+        FlowReservations flowReservations = flows.get(flow);
+        double last = flowReservations == null ? Double.NEGATIVE_INFINITY : flowReservations.lastDueAt;
         double due = Math.max(now + drainTime, last + spacing) + random.nextDouble() * JITTER_SHARE * spacing;
         double wait = Math.max(due - now, EARLY_TOLERANCE_SECONDS);
-        if (!(wait <= maxRetryAfter) || reservations >= maxReservations) {
+        if (!(wait <= maxRetryAfter) || reservationCount >= maxReservations) {
             return 0;
         }
-        if (reserved == null) {
-            reserved = new FlowReservations();
-            flows.put(flow, reserved);
+        if (flowReservations == null) {
+            flowReservations = new FlowReservations();
+            flows.put(flow, flowReservations);
         }
-        reserved.lastDueAt = now + wait;
-        reserved.dueTimes.add(now + wait);
-        reservations++;
+        flowReservations.lastDueAt = now + wait;
+        flowReservations.dueTimes.add(now + wait);
+        reservationCount++;
         return wait;
     }
 
     /** Redeems a reservation of the flow if one is due. Returns whether the request comes at a reserved time. */
     boolean redeem(double now, FlowId flow, boolean retriedByClient) {
         removeExpired(now);
-        FlowReservations reserved = flows.get(flow);
-        if (reserved == null) {
+        FlowReservations flowReservations = flows.get(flow);
+        if (flowReservations == null) {
             return false;
         }
-        reserved.marksRetries |= retriedByClient;
-        removeExpired(now, reserved);
-        boolean isDue = !reserved.dueTimes.isEmpty()
-                && reserved.dueTimes.peek() - EARLY_TOLERANCE_SECONDS <= now
-                && (retriedByClient || !reserved.marksRetries);
+        flowReservations.marksRetries |= retriedByClient;
+        removeExpired(now, flowReservations);
+        boolean isDue = !flowReservations.dueTimes.isEmpty()
+                && flowReservations.dueTimes.peek() - EARLY_TOLERANCE_SECONDS <= now
+                && (retriedByClient || !flowReservations.marksRetries);
         if (isDue) {
-            reserved.dueTimes.poll();
-            reservations--;
-            if (reserved.dueTimes.isEmpty()) {
+            flowReservations.dueTimes.poll();
+            reservationCount--;
+            if (flowReservations.dueTimes.isEmpty()) {
                 flows.remove(flow);
             }
         }
@@ -103,8 +103,8 @@
     }
 
     /** Returns the number of reservations that are neither redeemed nor expired. */
-    int reservations() {
-        return reservations;
+    int reservationCount() {
+        return reservationCount;
     }
 
     /** Removes the expired reservations of all flows; does nothing if called again within the expiry interval. */
@@ -119,10 +119,11 @@
         });
     }
 
-    private void removeExpired(double now, FlowReservations reserved) {
-        while (!reserved.dueTimes.isEmpty() && reserved.dueTimes.peek() + LATE_TOLERANCE_SECONDS < now) {
-            reserved.dueTimes.poll();
-            reservations--;
+    private void removeExpired(double now, FlowReservations flowReservations) {
+        while (!flowReservations.dueTimes.isEmpty()
+                && flowReservations.dueTimes.peek() + LATE_TOLERANCE_SECONDS < now) {
+            flowReservations.dueTimes.poll();
+            reservationCount--;
         }
     }
 }
--- a/core/src/main/java/portrelay/gossip/PeerInFlight.java
+++ b/core/src/main/java/portrelay/gossip/PeerInFlight.java
@@ -15,7 +15,7 @@
     /** In the order of the reports, the oldest first. */
     private final List<Attempt> attempts = new ArrayList<>();
 
-    private double servedAt = Double.NEGATIVE_INFINITY;
+    private double lastServedAt = Double.NEGATIVE_INFINITY;
     private int servedCount;
 
     /**
@@ -39,7 +39,7 @@
      */
     public boolean attemptEnded(int sidecar, PeerMembership.AttemptEvent event, double now) {
         if (event == PeerMembership.AttemptEvent.SERVED) {
-            servedAt = now;
+            lastServedAt = now;
             servedCount++;
         }
         for (int i = 0; i < attempts.size(); i++) {
@@ -73,7 +73,7 @@
      * Whether the upstream has served an attempt, but none since that time; false if none was ever reported as served.
      */
     public boolean unansweredSince(double time) {
-        return servedCount > 0 && servedAt < time;
+        return servedCount > 0 && lastServedAt < time;
     }
 
     /**
@@ -85,6 +85,6 @@
             return 0;
         }
         double oldest = attempts.get(0).startedAt;
-        return servedAt < oldest ? now - oldest : 0;
+        return lastServedAt < oldest ? now - oldest : 0;
     }
 }
--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -39,13 +39,15 @@
      * @param event the reported event
      * @param code the upstream's position in the subset, or {@link #upstreamCode} by rendezvous; -1 for LOST
      * @param tenant the tenant of a started attempt within a subset; -1 for none
-     * @param measure for LOST the idle time of the connection in seconds; for the end of an attempt by rendezvous its
-     *     duration ratio, as in {@link #sendAttemptEvent(AttemptEvent, int, double, List)}; 0 for all others
+     * @param idleTimeOrDurationRatio for LOST the idle time of the connection in seconds; for the end of an attempt by
+     *     rendezvous its duration ratio, as in {@link #sendAttemptEvent(AttemptEvent, int, double, List)}; 0 for all
+     *     others
      */
-    public record AttemptReport(AttemptEvent event, int code, int tenant, double measure) implements PeerMessage {}
+    public record AttemptReport(AttemptEvent event, int code, int tenant, double idleTimeOrDurationRatio)
+            implements PeerMessage {}
 
     /** Interval between two asks while too few members are known. */
-    private static final double FIRST_ASK_INTERVAL_SECONDS = 0.05;
+    private static final double URGENT_ASK_INTERVAL_SECONDS = 0.05;
 
     /** Interval otherwise. This is the mean: each sidecar has an interval of its own, to keep the asks apart. */
     private static final double ASK_INTERVAL_SECONDS = 10;
@@ -54,7 +56,7 @@
     /** With more sidecars a broadcast takes as long as spreading zones from one sidecar to the next. */
     private static final int MAX_BROADCAST_SIDECARS = 1000;
     /** A sidecar with less uptime knows too few zones to answer: the asking sidecar would stop asking others. */
-    private static final double MIN_AGE_TO_ANSWER_SECONDS = 1;
+    private static final double MIN_UPTIME_TO_ANSWER_SECONDS = 1;
 
     private final LoadBalancerActions actions;
     private final Topology topology;
@@ -69,9 +71,9 @@
      * Whether a member or its zone has become known since the last ask; if so, the next ask follows soon. Guards
      * against a fleet in which each sidecar knows only a part of the others.
      */
-    private boolean hasLearned;
+    private boolean hasLearnedSinceAsk;
 
-    private double receivedAt;
+    private double lastReceivedAt;
     private boolean hasChanged;
 
     /** Creates an instance that knows this sidecar only, and sends its first ask in the first {@link #advance}. */
@@ -82,7 +84,7 @@
                 topology.zone() == null ? 0 : topology.zone().value());
         this.startedAt = now;
         this.nextAskAt = now;
-        this.receivedAt = now;
+        this.lastReceivedAt = now;
         members.put(topology.sidecarIndex(), ownZone);
     }
 
@@ -116,7 +118,7 @@
     }
 
     /** Whether a member was added or changed its zone since the last call. */
-    public boolean takeChanged() {
+    public boolean checkAndClearChanged() {
         boolean changed = hasChanged;
         hasChanged = false;
         return changed;
@@ -128,17 +130,17 @@
             return;
         }
         boolean isUnanswered = asksSent <= UNANSWERED_BEFORE_BROADCAST && !wasAnswered;
-        boolean isUrgent = isUnanswered || isMinorityKnown() || hasLearned;
-        nextAskAt = now + (isUrgent ? FIRST_ASK_INTERVAL_SECONDS : jitteredAskInterval());
+        boolean isUrgent = isUnanswered || isMinorityKnown() || hasLearnedSinceAsk;
+        nextAskAt = now + (isUrgent ? URGENT_ASK_INTERVAL_SECONDS : jitteredAskInterval());
         if (isUnanswered
                 && asksSent == UNANSWERED_BEFORE_BROADCAST
                 && topology.sidecarCount() <= MAX_BROADCAST_SIDECARS) {
             actions.broadcastToPeers(PeerMessageCodec.hello(ownZone, false));
         } else {
-            actions.sendToPeer(nextToAsk(), PeerMessageCodec.hello(ownZone, true));
+            actions.sendToPeer(nextPeerToAsk(), PeerMessageCodec.hello(ownZone, true));
         }
         asksSent++;
-        hasLearned = false;
+        hasLearnedSinceAsk = false;
     }
 
     /** Returns the time by which {@link #advance} has to be called. */
@@ -177,7 +179,7 @@
      * @param tenant the tenant; -1 for none
      */
     public void sendAttemptEvent(AttemptEvent event, int code, int tenant) {
-        sendToSubset(PeerMessageCodec.subsetEvent(event, code, tenant));
+        sendToSubsetPeers(PeerMessageCodec.subsetEvent(event, code, tenant));
     }
 
     /**
@@ -191,7 +193,7 @@
         if (toAll) {
             actions.broadcastToPeers(text);
         } else {
-            sendToSubset(text);
+            sendToSubsetPeers(text);
         }
     }
 
@@ -199,7 +201,7 @@
 
     /** Returns the time of the last message from another sidecar, of any kind; the start time if there was none. */
     public double lastReceivedAt() {
-        return receivedAt;
+        return lastReceivedAt;
     }
 
     /** Handles a message. Returns the report of an attempt or a lost connection; null for any other message. */
@@ -208,7 +210,7 @@
             // A broadcast may be delivered to its sender too.
             return null;
         }
-        receivedAt = now;
+        lastReceivedAt = now;
         PeerMessage message = topology.rendezvousSubsets()
                 ? PeerMessageCodec.decodeByRendezvous(text)
                 : PeerMessageCodec.decodeInSubset(text);
@@ -224,8 +226,8 @@
     }
 
     private void helloReceived(int from, PeerMessage.Hello hello, double now) {
-        learn(from, hello.zone());
-        if (hello.asksForZones() && isSidecar(from) && now > startedAt + MIN_AGE_TO_ANSWER_SECONDS) {
+        recordZone(from, hello.zone());
+        if (hello.asksForZones() && isSidecarIndex(from) && now > startedAt + MIN_UPTIME_TO_ANSWER_SECONDS) {
             sendZones(from);
         }
     }
@@ -233,27 +235,27 @@
     private void zonesReceived(PeerMessage.Zones zones) {
         wasAnswered = true;
         for (int i = 0; i < zones.codes().length(); i++) {
-            learn(zones.firstSidecar() + i, zones.codes().charAt(i));
+            recordZone(zones.firstSidecar() + i, zones.codes().charAt(i));
         }
     }
 
-    private void learn(int sidecar, char zone) {
-        if (isSidecar(sidecar) && sidecar != topology.sidecarIndex() && zone != PeerMessageCodec.UNKNOWN_ZONE) {
-            Character before = members.put(sidecar, zone);
-            hasChanged |= before == null || before != zone;
-            hasLearned |= hasChanged;
+    private void recordZone(int sidecar, char zone) {
+        if (isSidecarIndex(sidecar) && sidecar != topology.sidecarIndex() && zone != PeerMessageCodec.UNKNOWN_ZONE) {
+            Character previous = members.put(sidecar, zone);
+            hasChanged |= previous == null || previous != zone;
+            hasLearnedSinceAsk |= hasChanged;
         }
     }
 
-    private boolean isSidecar(int number) {
-        return number >= 0 && number < topology.sidecarCount();
+    private boolean isSidecarIndex(int index) {
+        return index >= 0 && index < topology.sidecarCount();
     }
 
     private double jitteredAskInterval() {
         return ASK_INTERVAL_SECONDS * (0.75 + Rendezvous.hashToUnit(topology.sidecarIndex()) / 2);
     }
 
-    private int nextToAsk() {
+    private int nextPeerToAsk() {
         int sidecars = topology.sidecarCount();
         int seed = topology.sidecarIndex() + asksSent * sidecars;
         int step = 1 + (int) (Rendezvous.hashToUnit(seed) * (sidecars - 1));
@@ -261,8 +263,8 @@
     }
 
     private void sendZones(int to) {
-        for (int first = 0; first < topology.sidecarCount(); first += PeerMessageCodec.ZONES_PAGE) {
-            int end = Math.min(first + PeerMessageCodec.ZONES_PAGE, topology.sidecarCount());
+        for (int first = 0; first < topology.sidecarCount(); first += PeerMessageCodec.ZONES_PAGE_SIZE) {
+            int end = Math.min(first + PeerMessageCodec.ZONES_PAGE_SIZE, topology.sidecarCount());
             StringBuilder codes = new StringBuilder(end - first);
             for (int i = first; i < end; i++) {
                 codes.append(
@@ -272,7 +274,7 @@
         }
     }
 
-    private void sendToSubset(String text) {
+    private void sendToSubsetPeers(String text) {
         for (int each : subsetPeers) {
             actions.sendToPeer(each, text);
         }
--- a/core/src/main/java/portrelay/gossip/PeerMessageCodec.java
+++ b/core/src/main/java/portrelay/gossip/PeerMessageCodec.java
@@ -24,7 +24,7 @@
     static final int SUBSET_CODES = 23;
 
     /** Maximum number of sidecars in one {@code Zones} message, which keeps the message within 256 bytes. */
-    static final int ZONES_PAGE = 200;
+    static final int ZONES_PAGE_SIZE = 200;
 
     /** Stands in a {@code Zones} message for a sidecar that the sender does not know. */
     static final char UNKNOWN_ZONE = ' ';
@@ -38,7 +38,7 @@
     private static final char CONNECTION_LOST = 'r';
 
     /** Number of events with an attempt message: all before LOST, which has a message of its own. */
-    private static final int ATTEMPT_EVENTS = AttemptEvent.LOST.ordinal();
+    private static final int ATTEMPT_EVENT_COUNT = AttemptEvent.LOST.ordinal();
 
     private static final int DIGIT_CODES = 90;
     private static final int DIGITS = 3;
@@ -75,9 +75,9 @@
         return "" + MEMBERSHIP + (asksForZones ? HELLO_ASKING : HELLO) + zone;
     }
 
-    /** Encodes a {@code Zones} message; the first sidecar has to be a multiple of {@link #ZONES_PAGE}. */
+    /** Encodes a {@code Zones} message; the first sidecar has to be a multiple of {@link #ZONES_PAGE_SIZE}. */
     static String zones(int firstSidecar, CharSequence codes) {
-        return "" + MEMBERSHIP + ZONES + (char) (FIRST_CODE + firstSidecar / ZONES_PAGE) + codes;
+        return "" + MEMBERSHIP + ZONES + (char) (FIRST_CODE + firstSidecar / ZONES_PAGE_SIZE) + codes;
     }
 
     /** Encodes the loss of a request on an idle connection; the idle time is in seconds. */
@@ -121,7 +121,7 @@
             return decodeMembership(text);
         }
         int code = text.isEmpty() ? -1 : text.charAt(0) - FIRST_CODE;
-        if (code < 0 || code >= SUBSET_CODES * ATTEMPT_EVENTS) {
+        if (code < 0 || code >= SUBSET_CODES * ATTEMPT_EVENT_COUNT) {
             return null;
         }
         int tenant = text.length() > 1 ? text.charAt(1) - FIRST_CODE - 1 : -1;
@@ -134,7 +134,7 @@
     static PeerMessage decodeByRendezvous(String text) {
         int event = text.length() <= DIGITS ? -1 : text.charAt(0) - FIRST_CODE;
         boolean isStart = event == AttemptEvent.STARTED.ordinal();
-        if (event < 0 || event >= ATTEMPT_EVENTS || text.length() != DIGITS + (isStart ? 1 : 2)) {
+        if (event < 0 || event >= ATTEMPT_EVENT_COUNT || text.length() != DIGITS + (isStart ? 1 : 2)) {
             return null;
         }
         int code = 0;
@@ -150,7 +150,7 @@
         return switch (text.charAt(1)) {
             case HELLO -> new PeerMessage.Hello(field, false);
             case HELLO_ASKING -> new PeerMessage.Hello(field, true);
-            case ZONES -> new PeerMessage.Zones((field - FIRST_CODE) * ZONES_PAGE, text.substring(3));
+            case ZONES -> new PeerMessage.Zones((field - FIRST_CODE) * ZONES_PAGE_SIZE, text.substring(3));
             case CONNECTION_LOST -> new AttemptReport(AttemptEvent.LOST, -1, -1, decodeLog(field));
             default -> null;
         };
--- a/core/src/main/java/portrelay/gossip/SubsetAssignment.java
+++ b/core/src/main/java/portrelay/gossip/SubsetAssignment.java
@@ -28,10 +28,10 @@
      * A group of upstreams of one cell.
      *
      * @param zone the zone code of the cell
-     * @param seats positions of the upstreams in the list of slots, the largest upstream first
+     * @param slotIndexes positions of the upstreams in the list of slots, the largest upstream first
      * @param size sum of the sizes of the upstreams
      */
-    public record Segment(char zone, List<Integer> seats, double size) {}
+    public record Segment(char zone, List<Integer> slotIndexes, double size) {}
 
     /** Minimum upstreams of a segment if its cell has as many, as a retry or hedge needs another upstream. */
     private static final int MIN_UPSTREAMS = 2;
@@ -53,7 +53,7 @@
     public SubsetAssignment(List<UpstreamSlot> slots, int sidecars, int maxSidecarsPerSegment) {
         this.slots = slots;
         this.totalSize = slots.stream().mapToDouble(UpstreamSlot::size).sum();
-        cutIntoSegments(sidecars, maxSidecarsPerSegment);
+        createSegments(sidecars, maxSidecarsPerSegment);
     }
 
     /** Returns the segments; at least one if there is an upstream. */
@@ -67,29 +67,31 @@
      * own zone if that zone has a segment.
      *
      * @param members the zone code of each member
-     * @param fewKnown whether few members are known
+     * @param fewMembersKnown whether few members are known
      */
-    public Map<Integer, Segment> assign(Map<Integer, Character> members, boolean fewKnown) {
-        Map<Character, Double> places = new TreeMap<>();
-        segments.forEach(segment -> places.merge(segment.zone, members.size() * segment.size / totalSize, Double::sum));
+    public Map<Integer, Segment> assign(Map<Integer, Character> members, boolean fewMembersKnown) {
+        Map<Character, Double> memberCapacity = new TreeMap<>();
+        segments.forEach(
+                segment -> memberCapacity.merge(segment.zone, members.size() * segment.size / totalSize, Double::sum));
         Map<Character, Integer> membersByZone = new TreeMap<>();
         members.values().forEach(zone -> membersByZone.merge(zone, 1, Integer::sum));
-        Map<Character, Integer> seenByZone = new HashMap<>();
+        Map<Character, Integer> countedByZone = new HashMap<>();
         Map<Integer, Segment> assignment = new LinkedHashMap<>();
         List<Integer> moving = new ArrayList<>();
         members.forEach((sidecar, zone) -> {
-            int rank = seenByZone.merge(zone, 1, Integer::sum) - 1;
-            double staying = Math.min(Math.floor(places.getOrDefault(zone, 0.0)), membersByZone.get(zone));
-            if (places.containsKey(zone) && (fewKnown || rank < staying)) {
-                double share = fewKnown ? Rendezvous.hashToUnit(sidecar) : (rank + 0.5) / staying;
-                assignment.put(sidecar, at(share, segment -> segment.zone == zone ? segment.size : 0));
+            int rank = countedByZone.merge(zone, 1, Integer::sum) - 1;
+            double stayingCount = Math.min(Math.floor(memberCapacity.getOrDefault(zone, 0.0)), membersByZone.get(zone));
+            if (memberCapacity.containsKey(zone) && (fewMembersKnown || rank < stayingCount)) {
+                double share = fewMembersKnown ? Rendezvous.hashToUnit(sidecar) : (rank + 0.5) / stayingCount;
+                assignment.put(sidecar, segmentAt(share, segment -> segment.zone == zone ? segment.size : 0));
             } else {
                 moving.add(sidecar);
             }
         });
         for (int i = 0; i < moving.size(); i++) {
             double share = (i + 0.5) / moving.size();
-            assignment.put(moving.get(i), at(share, segment -> freeSize(segment, places, membersByZone)));
+            assignment.put(
+                    moving.get(i), segmentAt(share, segment -> freeSize(segment, memberCapacity, membersByZone)));
         }
         return assignment;
     }
@@ -98,7 +100,7 @@
      * Creates the segments, each within one cell, as upstreams deduplicate requests within their cell. A cell that too
      * many sidecars would share is divided into segments of about equal size.
      */
-    private void cutIntoSegments(int sidecars, int maxSidecarsPerSegment) {
+    private void createSegments(int sidecars, int maxSidecarsPerSegment) {
         TreeMap<Long, List<Integer>> cells = new TreeMap<>();
         for (int i = 0; i < slots.size(); i++) {
             cells.computeIfAbsent(slots.get(i).endpoint.cell().value(), cell -> new ArrayList<>())
@@ -109,13 +111,13 @@
                     .thenComparing(i -> slots.get(i).endpoint.id().value()));
             int count = segmentCount(cell, sidecars, maxSidecarsPerSegment);
             for (int first = 0; first < count; first++) {
-                List<Integer> seats = new ArrayList<>();
+                List<Integer> slotIndexes = new ArrayList<>();
                 for (int i = first; i < cell.size(); i += count) {
-                    seats.add(cell.get(i));
+                    slotIndexes.add(cell.get(i));
                 }
                 char zone = PeerMessageCodec.zoneCode(
                         slots.get(cell.get(0)).endpoint.zone().value());
-                segments.add(new Segment(zone, seats, size(seats)));
+                segments.add(new Segment(zone, slotIndexes, size(slotIndexes)));
             }
         });
     }
@@ -125,25 +127,25 @@
      * minimum of upstreams; in any case enough that no segment has more upstreams than there are codes in a subset.
      */
     private int segmentCount(List<Integer> cell, int sidecars, int maxSidecarsPerSegment) {
-        double sharing = sidecars * size(cell) / totalSize;
-        int wanted =
-                (int) Math.min(Math.ceil(sharing / maxSidecarsPerSegment), Math.floorDiv(cell.size(), MIN_UPSTREAMS));
+        double sharingSidecars = sidecars * size(cell) / totalSize;
+        int wanted = (int)
+                Math.min(Math.ceil(sharingSidecars / maxSidecarsPerSegment), Math.floorDiv(cell.size(), MIN_UPSTREAMS));
         int needed = (cell.size() + PeerMessageCodec.SUBSET_CODES - 1) / PeerMessageCodec.SUBSET_CODES;
         return Math.max(Math.max(1, wanted), needed);
     }
 
-    private double size(List<Integer> seats) {
-        return seats.stream().mapToDouble(i -> slots.get(i).size).sum();
+    private double size(List<Integer> slotIndexes) {
+        return slotIndexes.stream().mapToDouble(i -> slots.get(i).size).sum();
     }
 
     private static double freeSize(
-            Segment segment, Map<Character, Double> places, Map<Character, Integer> membersByZone) {
-        double taken = membersByZone.getOrDefault(segment.zone, 0) / places.get(segment.zone);
+            Segment segment, Map<Character, Double> memberCapacity, Map<Character, Integer> membersByZone) {
+        double taken = membersByZone.getOrDefault(segment.zone, 0) / memberCapacity.get(segment.zone);
         return segment.size * Math.max(MIN_FREE_SHARE, 1 - taken);
     }
 
     /** Returns the segment at the given share, 0 to 1, of the cumulative weight of all segments. */
-    private Segment at(double share, ToDoubleFunction<Segment> weight) {
+    private Segment segmentAt(double share, ToDoubleFunction<Segment> weight) {
         double left = share * segments.stream().mapToDouble(weight).sum();
         for (Segment segment : segments) {
             left -= weight.applyAsDouble(segment);
--- a/core/src/main/java/portrelay/policy/PeerReports.java
+++ b/core/src/main/java/portrelay/policy/PeerReports.java
@@ -40,7 +40,7 @@
             return false;
         }
         if (report.event() == AttemptEvent.LOST) {
-            idleConnectionAge.recordLost(report.measure(), nowSeconds);
+            idleConnectionAge.recordLost(report.idleTimeOrDurationRatio(), nowSeconds);
             return false;
         }
         UpstreamState upstream = subset.upstreamOf(report.code());
@@ -53,7 +53,8 @@
             return false;
         }
         boolean wasInFlight = upstream.peerInFlight.attemptEnded(fromSidecar, report.event(), nowSeconds);
-        latencies.recordDuration(upstream, report.event() == AttemptEvent.SERVED, report.measure(), nowSeconds);
+        latencies.recordDuration(
+                upstream, report.event() == AttemptEvent.SERVED, report.idleTimeOrDurationRatio(), nowSeconds);
         if (wasInFlight && report.event() != AttemptEvent.DROPPED) {
             outliers.recordOutcome(upstream, report.event() == AttemptEvent.FAILED, nowSeconds);
         }
--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -140,7 +140,7 @@
         if (membership == null) {
             return;
         }
-        if (membership.takeChanged()) {
+        if (membership.checkAndClearChanged()) {
             double earliest = lastAssignedAt + (wasMinorityKnown ? 0 : REASSIGN_INTERVAL_SECONDS);
             nextAssignAt = Math.min(nextAssignAt, Math.max(nowSeconds + REASSIGN_DELAY_SECONDS, earliest));
         }
@@ -183,7 +183,7 @@
         membership.setSubsetPeers(segmentOf.keySet().stream()
                 .filter(each -> segmentOf.get(each).equals(ours))
                 .toList());
-        return ours.seats().stream().map(readyUpstreams::get).toList();
+        return ours.slotIndexes().stream().map(readyUpstreams::get).toList();
     }
 
     /**
--- a/core/src/test/java/portrelay/admission/AdmissionControllerTest.java
+++ b/core/src/test/java/portrelay/admission/AdmissionControllerTest.java
@@ -20,19 +20,19 @@
 /** Tests admission control in virtual time, with a fleet of fixed capacity and fixed service time. */
 class AdmissionControllerTest {
 
-    private static final int PLACES = 10;
+    private static final int FLEET_CAPACITY = 10;
     private static final double SERVICE_SECONDS = 0.05;
     private static final double MAX_RETRY_AFTER_SECONDS = 2;
     private static final double MAX_WAIT_SECONDS = 0.3;
-    private static final double FLEET_PER_SECOND = PLACES / SERVICE_SECONDS;
+    private static final double FLEET_PER_SECOND = FLEET_CAPACITY / SERVICE_SECONDS;
 
     private record Event(double time, long order, Runnable action) {}
 
     /**
-     * A controller with a virtual clock, a fleet that serves PLACES requests at once, and clients that may honour
-     * Retry-After.
+     * A controller with a virtual clock, a fleet that serves FLEET_CAPACITY requests at once, and clients that may
+     * honour Retry-After.
      */
-    private static final class World implements AdmissionActions {
+    private static final class VirtualTimeHarness implements AdmissionActions {
         final AdmissionController admission;
         final PriorityQueue<Event> events = new PriorityQueue<>(
                 (a, b) -> a.time != b.time ? Double.compare(a.time, b.time) : Long.compare(a.order, b.order));
@@ -46,11 +46,11 @@
         long order;
         int peakQueued;
 
-        World(AdmissionConfig config) {
+        VirtualTimeHarness(AdmissionConfig config) {
             admission = new AdmissionController(config, MAX_RETRY_AFTER_SECONDS, 7, this);
         }
 
-        void at(double time, Runnable action) {
+        void schedule(double time, Runnable action) {
             events.add(new Event(time, order++, action));
         }
 
@@ -66,7 +66,7 @@
                             new TenantId(tenant),
                             new RequestClassId(0),
                             1,
-                            admission.typicalWork(new RequestClassId(0)),
+                            admission.expectedWork(new RequestClassId(0)),
                             100,
                             now + MAX_WAIT_SECONDS,
                             isRetry));
@@ -87,7 +87,7 @@
         public void admit(RequestId request) {
             assertTrue(now <= waitUntil.get(request) + 1e-9, "admitted after the end of its maximum wait");
             admitted.merge(tenantOf.get(request), 1, Integer::sum);
-            at(now + SERVICE_SECONDS, () -> admission.requestAnswered(now, request));
+            schedule(now + SERVICE_SECONDS, () -> admission.requestAnswered(now, request));
         }
 
         @Override
@@ -96,13 +96,13 @@
             rejected.merge(tenant, 1, Integer::sum);
             retryAfters.add(retryAfter);
             if (clientsHonourRetryAfter && retryAfter > 0) {
-                at(now + retryAfter, () -> send(tenant, "t" + tenant, true));
+                schedule(now + retryAfter, () -> send(tenant, "t" + tenant, true));
             }
         }
 
         @Override
         public void wakeUpAt(double time) {
-            at(time, () -> admission.wakeUp(now));
+            schedule(time, () -> admission.wakeUp(now));
         }
 
         @Override
@@ -112,7 +112,7 @@
 
         void sendPoisson(int tenant, double perSecond, double from, double until, SplittableRandom random) {
             for (double time = from; time < until; time -= Math.log(1 - random.nextDouble()) / perSecond) {
-                at(time, () -> send(tenant, "t" + tenant, false));
+                schedule(time, () -> send(tenant, "t" + tenant, false));
             }
         }
     }
@@ -120,7 +120,7 @@
     private static AdmissionConfig config(int maxQueued, int maxFlows) {
         return new AdmissionConfig(
                 AdmissionConfig.FlowsBy.TENANT,
-                PLACES,
+                FLEET_CAPACITY,
                 false,
                 maxQueued,
                 1 << 20,
@@ -132,42 +132,42 @@
 
     /** The fleet serves 200 requests per second. Tenant 0 sends 300 per second, three times its share. */
     @Test
-    void keepsAQuietTenantsShareWhileAnotherSendsThreeTimesItsOwn() {
-        World world = new World(config(1024, 64));
+    void aTenantKeepsItsShareWhileAnotherSendsThreeTimesItsOwn() {
+        VirtualTimeHarness harness = new VirtualTimeHarness(config(1024, 64));
         SplittableRandom random = new SplittableRandom(1);
-        world.sendPoisson(0, 300, 0, 60, random);
-        world.sendPoisson(1, 100, 0, 60, random);
-        world.run(60);
-        double quietShare = world.admitted.get(1) / 60.0 / FLEET_PER_SECOND;
-        assertEquals(0.5, quietShare, 0.05);
+        harness.sendPoisson(0, 300, 0, 60, random);
+        harness.sendPoisson(1, 100, 0, 60, random);
+        harness.run(60);
+        double shareOfTenantOne = harness.admitted.get(1) / 60.0 / FLEET_PER_SECOND;
+        assertEquals(0.5, shareOfTenantOne, 0.05);
         assertTrue(
-                world.rejected.getOrDefault(1, 0) < 0.1 * world.admitted.get(1),
-                "rejected by tenant: " + world.rejected);
-        assertTrue(world.admitted.get(0) > 0.9 * 60 * FLEET_PER_SECOND / 2);
+                harness.rejected.getOrDefault(1, 0) < 0.1 * harness.admitted.get(1),
+                "rejected by tenant: " + harness.rejected);
+        assertTrue(harness.admitted.get(0) > 0.9 * 60 * FLEET_PER_SECOND / 2);
     }
 
     /** Tenant 0 sends a thousand retries within 10 ms. */
     @Test
-    void aRetryStormOfOneTenantRejectsNothingOfAnother() {
-        World world = new World(config(256, 64));
+    void aRetryStormOfOneTenantRejectsNoRequestOfAnother() {
+        VirtualTimeHarness harness = new VirtualTimeHarness(config(256, 64));
         SplittableRandom random = new SplittableRandom(2);
-        world.sendPoisson(1, 60, 0, 4, random);
-        world.sendPoisson(0, 60, 0, 4, random);
+        harness.sendPoisson(1, 60, 0, 4, random);
+        harness.sendPoisson(0, 60, 0, 4, random);
         for (int i = 0; i < 1000; i++) {
-            world.at(2 + i * 1e-5, () -> world.send(0, "t0", true));
+            harness.schedule(2 + i * 1e-5, () -> harness.send(0, "t0", true));
         }
-        world.run(5);
-        assertEquals(0, world.rejected.getOrDefault(1, 0));
-        assertTrue(world.peakQueued <= 256 && world.rejected.get(0) > 800);
-        assertEquals(0, world.admission.queuedCount() + world.admission.inFlightCount());
+        harness.run(5);
+        assertEquals(0, harness.rejected.getOrDefault(1, 0));
+        assertTrue(harness.peakQueued <= 256 && harness.rejected.get(0) > 800);
+        assertEquals(0, harness.admission.queuedCount() + harness.admission.inFlightCount());
     }
 
     /** 10,000 clients, each with a flow of its own, arrive within a second and disconnect 0.1 s later. */
     @Test
     void aFloodOfNewClientsStaysWithinTheBoundAndLeavesNoState() {
-        World world = new World(new AdmissionConfig(
+        VirtualTimeHarness harness = new VirtualTimeHarness(new AdmissionConfig(
                 AdmissionConfig.FlowsBy.CLIENT,
-                PLACES,
+                FLEET_CAPACITY,
                 false,
                 512,
                 1 << 20,
@@ -177,75 +177,77 @@
                 ConnectionCapacityConfig.DEFAULTS));
         SplittableRandom random = new SplittableRandom(3);
         for (double time = 0; time < 4; time += 0.02) {
-            world.at(time, () -> world.send(1, "regular", false));
+            harness.schedule(time, () -> harness.send(1, "regular", false));
         }
         for (int i = 0; i < 10_000; i++) {
             String flow = "c" + i;
-            world.at(2 + random.nextDouble(), () -> {
-                RequestId id = world.send(0, flow, false);
-                world.at(world.now + 0.1, () -> world.admission.clientLeft(world.now, id));
+            harness.schedule(2 + random.nextDouble(), () -> {
+                RequestId id = harness.send(0, flow, false);
+                harness.schedule(harness.now + 0.1, () -> harness.admission.clientLeft(harness.now, id));
             });
         }
-        world.run(2.5);
-        assertTrue(world.peakQueued <= 512);
-        world.run(10);
-        assertEquals(0, world.admission.queuedCount() + world.admission.inFlightCount());
-        assertTrue(world.admitted.get(1) >= 190, "of 200 regular requests " + world.admitted.get(1) + " were admitted");
+        harness.run(2.5);
+        assertTrue(harness.peakQueued <= 512);
+        harness.run(10);
+        assertEquals(0, harness.admission.queuedCount() + harness.admission.inFlightCount());
+        assertTrue(
+                harness.admitted.get(1) >= 190,
+                "of 200 regular requests " + harness.admitted.get(1) + " were admitted");
     }
 
     /** The clients of half of the requests disconnect if their request is still queued. */
     @Test
     void anAbandonedRequestLeavesNoState() {
-        World world = new World(config(1024, 64));
+        VirtualTimeHarness harness = new VirtualTimeHarness(config(1024, 64));
         List<RequestId> sent = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            sent.add(world.send(i % 4, "t" + i % 4, false));
+            sent.add(harness.send(i % 4, "t" + i % 4, false));
         }
         for (int i = 0; i < 400; i += 2) {
-            if (world.admission.isQueued(sent.get(i))) {
-                world.admission.clientLeft(world.now, sent.get(i));
-                assertTrue(!world.admission.isOpen(sent.get(i)));
+            if (harness.admission.isQueued(sent.get(i))) {
+                harness.admission.clientLeft(harness.now, sent.get(i));
+                assertTrue(!harness.admission.isOpen(sent.get(i)));
             }
         }
-        world.run(5);
-        world.admission.wakeUp(world.now);
+        harness.run(5);
+        harness.admission.wakeUp(harness.now);
         assertEquals(
                 0,
-                world.admission.queuedCount()
-                        + world.admission.inFlightCount()
-                        + world.admission.openRetryAfterCount());
-        sent.forEach(each -> assertTrue(!world.admission.isOpen(each)));
-        assertTrue(world.admission.countersByTenant().values().stream().allMatch(counters -> counters.queued() == 0));
+                harness.admission.queuedCount()
+                        + harness.admission.inFlightCount()
+                        + harness.admission.openRetryAfterCount());
+        sent.forEach(each -> assertTrue(!harness.admission.isOpen(each)));
+        assertTrue(harness.admission.countersByTenant().values().stream().allMatch(counters -> counters.queued() == 0));
     }
 
     /** Covers a shutdown while requests are queued. */
     @Test
-    void closingRejectsAllQueuedAndAdmitsNoMore() {
-        World world = new World(config(1024, 64));
+    void closeRejectsAllQueuedRequestsAndAdmitsNoMore() {
+        VirtualTimeHarness harness = new VirtualTimeHarness(config(1024, 64));
         for (int i = 0; i < 100; i++) {
-            world.send(i % 3, "t" + i % 3, false);
+            harness.send(i % 3, "t" + i % 3, false);
         }
-        int inFlight = world.admission.inFlightCount();
-        world.admission.close(world.now);
-        assertEquals(0, world.admission.queuedCount());
-        assertEquals(100 - inFlight, world.retryAfters.size());
-        world.send(0, "t0", false);
-        world.run(1);
-        assertEquals(101 - inFlight, world.retryAfters.size());
-        assertEquals(0, world.admission.inFlightCount());
+        int inFlight = harness.admission.inFlightCount();
+        harness.admission.close(harness.now);
+        assertEquals(0, harness.admission.queuedCount());
+        assertEquals(100 - inFlight, harness.retryAfters.size());
+        harness.send(0, "t0", false);
+        harness.run(1);
+        assertEquals(101 - inFlight, harness.retryAfters.size());
+        assertEquals(0, harness.admission.inFlightCount());
     }
 
     /** At least nine of ten requests that come at their Retry-After are admitted. */
     @Test
-    void aRetryAfterIsHonouredInNineCasesOfTen() {
-        World world = new World(config(256, 64));
-        world.clientsHonourRetryAfter = true;
+    void nineOfTenRequestsAtTheirRetryAfterAreAdmitted() {
+        VirtualTimeHarness harness = new VirtualTimeHarness(config(256, 64));
+        harness.clientsHonourRetryAfter = true;
         SplittableRandom random = new SplittableRandom(4);
-        world.sendPoisson(0, 300, 0, 30, random);
-        world.sendPoisson(1, 150, 0, 30, random);
-        world.run(40);
+        harness.sendPoisson(0, 300, 0, 30, random);
+        harness.sendPoisson(1, 150, 0, 30, random);
+        harness.run(40);
         for (int tenant = 0; tenant < 2; tenant++) {
-            TenantCounters counters = world.admission.countersByTenant().get(new TenantId(tenant));
+            TenantCounters counters = harness.admission.countersByTenant().get(new TenantId(tenant));
             assertTrue(counters.retryAfterGiven() > 500, "Retry-After given: " + counters.retryAfterGiven());
             assertTrue(counters.retryAfterHonoured() > 100, "too few Retry-After times were honoured: " + counters);
             assertTrue(
@@ -253,9 +255,9 @@
                             >= 0.9 * (counters.retryAfterHonoured() + counters.retryAfterMissed()),
                     counters.toString());
         }
-        assertTrue(world.retryAfters.stream().allMatch(each -> each <= MAX_RETRY_AFTER_SECONDS));
+        assertTrue(harness.retryAfters.stream().allMatch(each -> each <= MAX_RETRY_AFTER_SECONDS));
         assertTrue(
-                world.retryAfters.stream().filter(each -> each > 0).distinct().count() > 500,
+                harness.retryAfters.stream().filter(each -> each > 0).distinct().count() > 500,
                 "too few distinct Retry-After times: given without jitter");
     }
 
--- a/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
+++ b/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
@@ -25,7 +25,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void neverEvictsAnAwaitingOneAndAnyOtherBeforeTheLimitIsExceeded(
+    void neverEvictsAnAwaitingConnectionNorExceedsTheLimitIfAnotherMayBeEvicted(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 999) Integer> steps) {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         Map<ClientId, ConnectionCapacity.Phase> expected = new HashMap<>();
@@ -37,18 +37,18 @@
                 expected.put(id(next), ConnectionCapacity.Phase.SILENT);
                 capacity.opened(now, id(next++));
             } else {
-                ClientId one = expected.keySet().stream()
+                ClientId changed = expected.keySet().stream()
                         .sorted((a, b) -> Long.compare(a.value(), b.value()))
                         .skip(step % expected.size())
                         .findFirst()
                         .orElseThrow();
                 ConnectionCapacity.Phase phase = PHASES.get(step % PHASES.size());
-                expected.put(one, phase);
-                capacity.phaseChanged(now, one, phase);
+                expected.put(changed, phase);
+                capacity.phaseChanged(now, changed, phase);
             }
-            for (ConnectionCapacity.Eviction eviction = capacity.underPressure(now, LIMIT);
+            for (ConnectionCapacity.Eviction eviction = capacity.overLimit(now, LIMIT);
                     eviction != null;
-                    eviction = capacity.underPressure(now, LIMIT)) {
+                    eviction = capacity.overLimit(now, LIMIT)) {
                 assertEquals(expected.remove(eviction.id()), eviction.phase());
                 assertTrue(eviction.phase() != ConnectionCapacity.Phase.ASKED);
                 capacity.closed(eviction.id());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void underPressureEvictsSilentOnesFirstThenTheLongestIdle() {
+    void overTheLimitEvictsSilentConnectionsFirstThenTheLongestIdle() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         for (int i = 0; i < 4; i++) {
             capacity.opened(i, id(i));
@@ -71,30 +71,30 @@
         capacity.phaseChanged(4, id(1), ConnectionCapacity.Phase.IDLE);
         capacity.phaseChanged(4.1, id(2), ConnectionCapacity.Phase.ASKED);
         capacity.phaseChanged(4.2, id(3), ConnectionCapacity.Phase.IDLE);
-        assertEquals(id(0), capacity.underPressure(4.3, 3).id());
+        assertEquals(id(0), capacity.overLimit(4.3, 3).id());
         capacity.closed(id(0));
-        assertEquals(id(1), capacity.underPressure(4.3, 2).id());
+        assertEquals(id(1), capacity.overLimit(4.3, 2).id());
         capacity.closed(id(1));
-        assertEquals(id(3), capacity.underPressure(4.3, 1).id());
+        assertEquals(id(3), capacity.overLimit(4.3, 1).id());
         capacity.closed(id(3));
-        assertNull(capacity.underPressure(4.3, 0));
+        assertNull(capacity.overLimit(4.3, 0));
     }
 
     /** Guards against closing a new connection before its first bytes have arrived. */
     @Test
-    void evictsTheNewestOnlyIfNoOtherMayBeEvicted() {
+    void evictsTheNewestConnectionOnlyIfNoOtherMayBeEvicted() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         capacity.opened(0, id(0));
         capacity.bytesReceived(0, id(0));
         capacity.opened(0.01, id(1));
-        assertEquals(id(0), capacity.underPressure(0.01, 1).id());
+        assertEquals(id(0), capacity.overLimit(0.01, 1).id());
         capacity.phaseChanged(0.01, id(0), ConnectionCapacity.Phase.ASKED);
-        assertEquals(id(1), capacity.underPressure(0.01, 1).id());
+        assertEquals(id(1), capacity.overLimit(0.01, 1).id());
     }
 
     /** Guards against idle connections that use up the connection limit of callers. */
     @Test
-    void keepsAsManyIdleAsWereLatelyUsedAtOnce() {
+    void keepsAsManyIdleConnectionsAsTheRecentPeakRequires() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         for (int i = 0; i < 40; i++) {
             capacity.opened(0, id(i));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void evictsAnOverdueOneWithoutPressure() {
+    void evictsAnOverdueConnectionBelowTheLimit() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         capacity.opened(0, id(0));
         capacity.bytesReceived(0, id(0));
--- a/core/src/test/java/portrelay/admission/FairQueueTest.java
+++ b/core/src/test/java/portrelay/admission/FairQueueTest.java
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 600, seed = "20261201")
-    void noFlowDiffersFromTheFluidServerByMoreThanOneRequestsWork(
+    void noFlowDiffersFromTheFluidServerByMoreThanTheWorkOfOneRequest(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 59) Integer> steps) {
         FairQueue queue = new FairQueue(1000, 100_000, 100);
         FluidServer fluid = new FluidServer();
@@ -73,10 +73,10 @@
                 queue.add(request("q" + sent++, "f" + flow, weight(flow), work), false);
                 fluid.left[flow] += work;
             } else {
-                AdmissionRequest next = queue.next();
-                if (next != null) {
-                    served[next.flow().value().charAt(1) - '0'] += next.work();
-                    fluid.serve(next.work());
+                AdmissionRequest request = queue.next();
+                if (request != null) {
+                    served[request.flow().value().charAt(1) - '0'] += request.work();
+                    fluid.serve(request.work());
                 }
             }
             for (int i = 0; i < FLOWS; i++) {
@@ -89,7 +89,7 @@
     }
 
     @Property(tries = 300, seed = "20261201")
-    void losesAndDuplicatesNothingAndKeepsItsBounds(
+    void losesAndDuplicatesNoRequestAndKeepsItsBounds(
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 999) Integer> steps) {
         FairQueue queue = new FairQueue(7, 60, 3);
         Map<RequestId, AdmissionRequest> expected = new HashMap<>();
@@ -113,9 +113,9 @@
                 RequestId id = new ArrayList<>(expected.keySet()).get(step % expected.size());
                 assertEquals(expected.remove(id), queue.remove(id));
             } else {
-                AdmissionRequest next = queue.next();
-                assertEquals(expected.isEmpty(), next == null);
-                assertTrue(next == null || next.equals(expected.remove(next.id())));
+                AdmissionRequest request = queue.next();
+                assertEquals(expected.isEmpty(), request == null);
+                assertTrue(request == null || request.equals(expected.remove(request.id())));
             }
             assertEquals(expected.size(), queue.size());
             assertEquals(
@@ -123,12 +123,12 @@
                             .mapToLong(AdmissionRequest::bytes)
                             .sum(),
                     queue.bytes());
-            assertTrue(queue.size() <= 7 && queue.bytes() <= 60 && queue.flows() <= 3 + FairQueue.SHARED_FLOWS);
+            assertTrue(queue.size() <= 7 && queue.bytes() <= 60 && queue.flowCount() <= 3 + FairQueue.SHARED_FLOWS);
         }
         while (queue.next() != null) {
             assertTrue(queue.size() >= 0);
         }
-        assertEquals(0, queue.flows(), "flows are kept though no request is queued");
+        assertEquals(0, queue.flowCount(), "flows are kept though no request is queued");
     }
 
     @Test
@@ -143,10 +143,10 @@
         for (int i = 0; i < 100; i++) {
             queue.add(request("b" + i, "b", 1, 1), false);
         }
-        int ofB = 0;
+        int admittedOfB = 0;
         for (int i = 0; i < 20; i++) {
-            ofB += queue.next().flow().value().equals("b") ? 1 : 0;
+            admittedOfB += queue.next().flow().value().equals("b") ? 1 : 0;
         }
-        assertEquals(10, ofB, 1);
+        assertEquals(10, admittedOfB, 1);
     }
 }
--- a/core/src/test/java/portrelay/admission/RetryAfterSchedulerTest.java
+++ b/core/src/test/java/portrelay/admission/RetryAfterSchedulerTest.java
@@ -18,19 +18,19 @@
             new RetryAfterScheduler(new SplittableRandom(1), MAX_RETRY_AFTER_SECONDS, MAX_RESERVATIONS);
 
     @Test
-    void reservesSpacedTimesBehindTheQueue() {
+    void reservesSpacedTimesAfterTheQueueHasDrained() {
         double first = scheduler.reserve(10, FLOW, 0.5, 0.2);
         double second = scheduler.reserve(10, FLOW, 0.5, 0.2);
         assertTrue(first >= 0.5 && first <= 0.6, "first Retry-After " + first);
         assertTrue(second >= first + 0.2 && second <= first + 0.3 + 1e-9, "second Retry-After " + second);
-        assertEquals(2, scheduler.reservations());
+        assertEquals(2, scheduler.reservationCount());
     }
 
     @Test
-    void givesNoTimeThatClientsWouldNotObserve() {
+    void reservesNoTimeBeyondWhatClientsObserve() {
         assertEquals(0, scheduler.reserve(10, FLOW, 2.1, 0.2));
         assertEquals(0, new RetryAfterScheduler(new SplittableRandom(1), 0, 3).reserve(10, FLOW, 0, 0.2));
-        assertEquals(0, scheduler.reservations());
+        assertEquals(0, scheduler.reservationCount());
     }
 
     @Test
@@ -48,12 +48,12 @@
         assertFalse(scheduler.redeem(due, new FlowId("b"), false));
         assertTrue(scheduler.redeem(due, FLOW, false));
         assertFalse(scheduler.redeem(due, FLOW, false), "redeemed twice");
-        assertEquals(0, scheduler.reservations());
+        assertEquals(0, scheduler.reservationCount());
     }
 
     /** Guards against new requests of a flow using up the reservations of its retries. */
     @Test
-    void aFlowThatMarksRetriesRedeemsWithThemAlone() {
+    void aFlowThatMarksRetriesRedeemsOnlyWithMarkedRequests() {
         double due = 10 + scheduler.reserve(10, FLOW, 0.5, 0.1);
         assertFalse(scheduler.redeem(10, FLOW, true));
         assertFalse(scheduler.redeem(due, FLOW, false));
@@ -64,8 +64,8 @@
     void aReservationExpires() {
         double due = 10 + scheduler.reserve(10, FLOW, 0.5, 0.1);
         scheduler.removeExpired(due + 0.4);
-        assertEquals(1, scheduler.reservations());
+        assertEquals(1, scheduler.reservationCount());
         assertFalse(scheduler.redeem(due + 0.6, FLOW, true));
-        assertEquals(0, scheduler.reservations());
+        assertEquals(0, scheduler.reservationCount());
     }
 }
--- a/core/src/test/java/portrelay/admission/ReturningClientsTest.java
+++ b/core/src/test/java/portrelay/admission/ReturningClientsTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aClientThatWasAdmittedAndComesLaterHasItsOwnFlow() {
+    void aClientThatReturnsAfterItsFirstAdmissionHasItsOwnFlow() {
         AdmissionRequest request = request("a");
         clients.assignFlow(0, request);
         assertNotEquals(request, clients.assignFlow(5, request), "the client was never admitted");
@@ -41,7 +41,7 @@
 
     /** Guards against a flood of new clients that evicts returning clients, which would be new again. */
     @Test
-    void newClientsDoNotPushOutReturningOnes() {
+    void newClientsDoNotEvictReturningClients() {
         AdmissionRequest request = request("a");
         clients.admitted(0, request.flow());
         clients.assignFlow(1, request);
--- a/core/src/test/java/portrelay/gossip/PeerMembershipTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerMembershipTest.java
@@ -70,48 +70,48 @@
         public void log(String text) {}
     }
 
-    private List<PeerMembership> started(int sidecars, double now) {
-        List<PeerMembership> all = new ArrayList<>();
+    private List<PeerMembership> startSidecars(int sidecars, double now) {
+        List<PeerMembership> members = new ArrayList<>();
         for (int i = 0; i < sidecars; i++) {
             Topology topology = new Topology(
                     i, sidecars, new ZoneId(i % 4), Topology.Weights.LIVE, Topology.Reports.WITH_ANSWERS, true, false);
-            all.add(new PeerMembership(new RecordingActions(i), topology, now));
+            members.add(new PeerMembership(new RecordingActions(i), topology, now));
         }
-        return all;
+        return members;
     }
 
-    private void run(List<PeerMembership> all, double from, double until) {
+    private void run(List<PeerMembership> members, double from, double until) {
         for (double now = from; now < until; now += DELAY_SECONDS) {
-            double at = now;
+            double time = now;
             List<Message> arriving = List.copyOf(inTransit);
             inTransit.clear();
             for (Message each : arriving) {
-                for (int to = 0; to < all.size(); to++) {
+                for (int to = 0; to < members.size(); to++) {
                     if (to != each.from && (each.to == -1 || each.to == to)) {
-                        all.get(to).receive(each.from, each.text, at);
+                        members.get(to).receive(each.from, each.text, time);
                     }
                 }
             }
-            all.forEach(each -> each.advance(at));
+            members.forEach(each -> each.advance(time));
         }
     }
 
     @Test
     void sidecarsThatStartTogetherKnowEachOtherWithinASecond() {
-        List<PeerMembership> all = started(60, 0);
-        run(all, 0, 0.3);
-        all.forEach(each -> assertEquals(60, each.members().size()));
+        List<PeerMembership> members = startSidecars(60, 0);
+        run(members, 0, 0.3);
+        members.forEach(each -> assertEquals(60, each.members().size()));
         assertEquals(60, broadcasts);
     }
 
     /** With over a thousand sidecars none broadcasts: zones spread from one sidecar to the next. */
     @Test
-    void aLargeFleetLearnsOfEachOtherWithoutBroadcast() {
-        List<PeerMembership> all = started(1100, 0);
-        run(all, 0, 2);
+    void sidecarsOfALargeFleetLearnOfEachOtherWithoutBroadcast() {
+        List<PeerMembership> members = startSidecars(1100, 0);
+        run(members, 0, 2);
         assertEquals(0, broadcasts);
         long complete =
-                all.stream().filter(each -> each.members().size() == 1100).count();
+                members.stream().filter(each -> each.members().size() == 1100).count();
         assertTrue(complete > 1000, complete + " of 1100 sidecars know all zones");
     }
 }
--- a/core/src/test/java/portrelay/gossip/PeerWireTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerWireTest.java
@@ -31,13 +31,13 @@
                 return null;
             });
 
-    private PeerMembership member(Topology.Reports reports) {
+    private PeerMembership membership(Topology.Reports reports) {
         Topology topology = new Topology(2, 5, new ZoneId(1), Topology.Weights.LIVE, reports, true, false);
         return new PeerMembership(actions, topology, 0);
     }
 
-    private final PeerMembership inSubset = member(Topology.Reports.WITH_ANSWERS);
-    private final PeerMembership byRendezvous = member(Topology.Reports.SILENT);
+    private final PeerMembership inSubset = membership(Topology.Reports.WITH_ANSWERS);
+    private final PeerMembership byRendezvous = membership(Topology.Reports.SILENT);
 
     @Test
     void sendsAttemptEventsToItsSubset() {
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void ignoresWhatIsTornForeignOrItsOwn() {
+    void ignoresMalformedForeignAndOwnMessages() {
         for (String text : new String[] {"", " ", "}", "~", "~r", "~h", "~x!", "\u00e4"}) {
             assertNull(inSubset.receive(0, text, 1), text);
         }
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void learnsZonesOfKnownSidecarsAlone() {
+    void learnsZonesOnlyOfSidecarsOfTheFleet() {
         inSubset.receive(4, "~m!%% &", 1);
         assertEquals("{0=%, 1=%, 2=\", 3=&}", new TreeMap<>(inSubset.members()).toString());
         inSubset.receive(4, "~m\"%%", 1);
--- a/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
+++ b/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
@@ -49,7 +49,7 @@
         return members;
     }
 
-    private static double inZone(Map<Integer, SubsetAssignment.Segment> assignment, int zone) {
+    private static double countInZone(Map<Integer, SubsetAssignment.Segment> assignment, int zone) {
         char code = PeerMessageCodec.zoneCode(zone);
         return assignment.values().stream().filter(each -> each.zone() == code).count();
     }
@@ -58,15 +58,18 @@
     void eachUpstreamIsInOneSegmentOfItsCell() {
         List<SubsetAssignment.Segment> segments = assignment(12).segments();
         assertEquals(4, segments.size(), "20 sidecars per cell, at most 14 per segment");
-        List<Integer> seats = segments.stream()
-                .flatMap(each -> each.seats().stream())
+        List<Integer> slotIndexes = segments.stream()
+                .flatMap(each -> each.slotIndexes().stream())
                 .sorted()
                 .toList();
-        assertEquals(IntStream.range(0, 12).boxed().toList(), seats);
+        assertEquals(IntStream.range(0, 12).boxed().toList(), slotIndexes);
         for (SubsetAssignment.Segment each : segments) {
             assertEquals(
                     1,
-                    each.seats().stream().map(seat -> seat % ZONES).distinct().count());
+                    each.slotIndexes().stream()
+                            .map(index -> index % ZONES)
+                            .distinct()
+                            .count());
             assertEquals(3, each.size());
         }
     }
@@ -76,8 +79,8 @@
     void aSegmentHasNoMoreUpstreamsThanCodes() {
         for (SubsetAssignment.Segment each : assignment(400).segments()) {
             assertTrue(
-                    each.seats().size() <= PeerMessageCodec.SUBSET_CODES,
-                    each.seats().size() + " upstreams");
+                    each.slotIndexes().size() <= PeerMessageCodec.SUBSET_CODES,
+                    each.slotIndexes().size() + " upstreams");
         }
     }
 
@@ -93,15 +96,15 @@
     }
 
     @Test
-    void sidecarsBeyondTheirZonesSizeGoToOthers() {
+    void sidecarsBeyondTheSizeOfTheirZoneAreAssignedToOtherZones() {
         Map<Integer, SubsetAssignment.Segment> assigned = assignment(12).assign(members(30), false);
-        assertEquals(20, inZone(assigned, 0), 1);
-        assertEquals(20, inZone(assigned, 1), 1);
+        assertEquals(20, countInZone(assigned, 0), 1);
+        assertEquals(20, countInZone(assigned, 1), 1);
     }
 
     @Test
-    void allStayInTheirZonesWhileFewAreKnown() {
+    void allSidecarsStayInTheirZonesWhileFewAreKnown() {
         Map<Integer, SubsetAssignment.Segment> assigned = assignment(12).assign(members(30), true);
-        assertEquals(30, inZone(assigned, 0));
+        assertEquals(30, countInZone(assigned, 0));
     }
 }
--- a/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
+++ b/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
@@ -111,7 +111,7 @@
                         arrival.tenant(),
                         arrival.requestClass(),
                         settings.weight(arrival.tenant()),
-                        controller.typicalWork(arrival.requestClass()),
+                        controller.expectedWork(arrival.requestClass()),
                         bytes,
                         queueDeadline,
                         arrival.retriedByClient()));
--- a/daemon/src/main/java/portrelay/net/client/ClientConnections.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnections.java
@@ -171,7 +171,7 @@
 
     /** Closes connections that have been idle, or silent since they were accepted, for so long; at most so many. */
     void closeIdle(ConnectionCapacity.Cause cause, double minIdleSeconds, int maxClosed) {
-        capacity.silentFor(loop.now(), minIdleSeconds).stream()
+        capacity.inactiveFor(loop.now(), minIdleSeconds).stream()
                 .limit(maxClosed)
                 .forEach(id -> evict(new ConnectionCapacity.Eviction(id, ConnectionCapacity.Phase.IDLE, cause)));
         forgetClosed();
@@ -216,7 +216,7 @@
         forgetClosed();
         // Each is tried once: those with unread bytes stay, even where that leaves too many for a moment.
         for (int tries = capacity.count(); tries > 0 && capacity.count() > maxConnections; tries--) {
-            ConnectionCapacity.Eviction eviction = capacity.underPressure(loop.now(), maxConnections);
+            ConnectionCapacity.Eviction eviction = capacity.overLimit(loop.now(), maxConnections);
             if (eviction == null) {
                 return;
             }
@@ -269,7 +269,7 @@
 
     /** Finds the connections that closed unnoticed: Undertow's close listener is set with a connection's first head. */
     private void forgetClosed() {
-        for (ClientId id : capacity.in(
+        for (ClientId id : capacity.connectionsIn(
                 ConnectionCapacity.Phase.SILENT, ConnectionCapacity.Phase.SENDING, ConnectionCapacity.Phase.IDLE)) {
             StreamConnection socket = connections.get(id).socket;
             if (!socket.isOpen()) {
@@ -290,7 +290,7 @@
         isSweepScheduled = false;
         forgetClosed();
         evictAll(capacity::overdue);
-        for (ClientId id : capacity.silentFor(loop.now(), maxIdleSeconds)) {
+        for (ClientId id : capacity.inactiveFor(loop.now(), maxIdleSeconds)) {
             evict(new ConnectionCapacity.Eviction(
                     id, ConnectionCapacity.Phase.IDLE, ConnectionCapacity.Cause.TOO_LONG));
         }
