--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -104,7 +104,7 @@
 
     /** Whether other sidecars may report attempts at the upstreams of this sidecar. */
     public boolean hasSubsetPeers() {
-        return topology.rendezvousSubsets() || !subsetPeers.isEmpty();
+        return topology.usesRendezvousSubsets() || !subsetPeers.isEmpty();
     }
 
     /** Returns the zone code of each known sidecar, including this one, as a live view. */
@@ -126,7 +126,7 @@
 
     /** Asks another sidecar for all zones if an ask is due; varies the sidecar from one ask to the next. */
     public void advance(double now) {
-        if (now < nextAskAt || topology.rendezvousSubsets()) {
+        if (now < nextAskAt || topology.usesRendezvousSubsets()) {
             return;
         }
         boolean isUnanswered = asksSent <= UNANSWERED_BEFORE_BROADCAST && !wasAnswered;
@@ -145,7 +145,7 @@
 
     /** Returns the time by which {@link #advance} has to be called. */
     public double nextWakeUp() {
-        return topology.rendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
+        return topology.usesRendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
     }
 
     // ---- Sending ----------------------------------------------------------------------------------------
@@ -211,7 +211,7 @@
             return null;
         }
         lastReceivedAt = now;
-        PeerMessage message = topology.rendezvousSubsets()
+        PeerMessage message = topology.usesRendezvousSubsets()
                 ? PeerMessageCodec.decodeByRendezvous(text)
                 : PeerMessageCodec.decodeInSubset(text);
         if (message instanceof AttemptReport report) {
--- a/core/src/main/java/portrelay/policy/PeerReports.java
+++ b/core/src/main/java/portrelay/policy/PeerReports.java
@@ -40,7 +40,7 @@
             return false;
         }
         if (report.event() == AttemptEvent.LOST) {
-            idleConnectionAge.recordLost(report.idleTimeOrDurationRatio(), nowSeconds);
+            idleConnectionAge.recordLostConnection(report.idleTimeOrDurationRatio(), nowSeconds);
             return false;
         }
         UpstreamState upstream = subset.upstreamOf(report.code());
@@ -122,6 +122,6 @@
         if (idleConnectionAge.shouldBroadcast(idleSeconds, nowSeconds)) {
             subset.sendConnectionLost(idleSeconds, toAllSidecars);
         }
-        idleConnectionAge.recordLost(idleSeconds, nowSeconds);
+        idleConnectionAge.recordLostConnection(idleSeconds, nowSeconds);
     }
 }
