--- a/daemon/src/main/java/portrelay/net/client/ClientConnections.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientConnections.java
@@ -181,7 +181,7 @@
      * at most {@code maxClosed} of them.
      */
     void closeIdle(ConnectionCapacity.Cause cause, double minIdleSeconds, int maxClosed) {
-        capacity.silentFor(loop.now(), minIdleSeconds).stream()
+        capacity.inactiveFor(loop.now(), minIdleSeconds).stream()
                 .limit(maxClosed)
                 .forEach(id -> evict(new ConnectionCapacity.Eviction(id, ConnectionCapacity.Phase.IDLE, cause)));
         forgetClosed();
@@ -226,7 +226,7 @@
         forgetClosed();
         // Each is tried once: those with unread bytes stay open, even if that exceeds the limit for a moment.
         for (int tries = capacity.count(); tries > 0 && capacity.count() > maxConnections; tries--) {
-            ConnectionCapacity.Eviction eviction = capacity.underPressure(loop.now(), maxConnections);
+            ConnectionCapacity.Eviction eviction = capacity.overLimit(loop.now(), maxConnections);
             if (eviction == null) {
                 return;
             }
@@ -285,7 +285,7 @@
      * of a connection.
      */
     private void forgetClosed() {
-        for (ClientId id : capacity.in(
+        for (ClientId id : capacity.connectionsIn(
                 ConnectionCapacity.Phase.SILENT, ConnectionCapacity.Phase.SENDING, ConnectionCapacity.Phase.IDLE)) {
             StreamConnection socket = connections.get(id).socket;
             if (!socket.isOpen()) {
@@ -306,7 +306,7 @@
         isSweepScheduled = false;
         forgetClosed();
         evictAll(capacity::overdue);
-        for (ClientId id : capacity.silentFor(loop.now(), maxIdleSeconds)) {
+        for (ClientId id : capacity.inactiveFor(loop.now(), maxIdleSeconds)) {
             evict(new ConnectionCapacity.Eviction(
                     id, ConnectionCapacity.Phase.IDLE, ConnectionCapacity.Cause.TOO_LONG));
         }
