--- a/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
+++ b/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
@@ -130,7 +130,7 @@
                             .getMap());
         } catch (IOException e) {
             throw new IOException(
-                    WireNames.ADMIN_ADDRESS + " " + SocketAddresses.text(address) + ": " + e.getMessage(), e);
+                    WireNames.ADMIN_ADDRESS + " " + SocketAddresses.format(address) + ": " + e.getMessage(), e);
         }
         listener.resumeAccepts();
     }
--- a/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
+++ b/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
@@ -223,7 +223,7 @@
         openRequests.answered(request);
         loadBalancer.clientLeft(loop.now(), id);
         if (request.incoming.requestBody() != null
-                && !request.incoming.requestBody().written()) {
+                && !request.incoming.requestBody().isWritten()) {
             // The rest of the body will not come: cancelled even where the settings allow no cancelling of attempts.
             request.cancelAttempts(Outcome.CANCELLED);
         }
--- a/daemon/src/main/java/portrelay/net/client/ClientResponder.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientResponder.java
@@ -81,7 +81,7 @@
         if (requestBody == null) {
             watch.start();
         } else {
-            requestBody.listener(this);
+            requestBody.setListener(this);
         }
     }
 
@@ -214,7 +214,7 @@
     }
 
     private boolean isBodyUnread() {
-        return requestBody != null && !requestBody.written();
+        return requestBody != null && !requestBody.isWritten();
     }
 
     private void clientLeft() {
--- a/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestFramingFilter.java
@@ -130,7 +130,7 @@
 
     /** Returns the number of requests that have been read completely. */
     int messageCount() {
-        return framing.messages();
+        return framing.completeMessageCount();
     }
 
     /** Records that the next request is being handled; drops the completion time of the one before. */
@@ -170,11 +170,11 @@
     private int parse(ByteBuffer target, int start) {
         ByteBuffer unparsed = target.duplicate();
         unparsed.flip().position(start);
-        int messagesBefore = framing.messages();
+        int messagesBefore = framing.completeMessageCount();
         while (unparsed.hasRemaining() && !framing.isMalformed()) {
-            framing.follow(unparsed);
+            framing.parse(unparsed);
         }
-        for (int i = messagesBefore; i < framing.messages(); i++) {
+        for (int i = messagesBefore; i < framing.completeMessageCount(); i++) {
             completionTimes.addLast(arrivalClock.getAsDouble());
         }
         return unparsed.position();
--- a/daemon/src/main/java/portrelay/net/client/ResponseStream.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseStream.java
@@ -46,7 +46,7 @@
      * is decided by {@link portrelay.net.connection.HttpConnection}.
      */
     @Override
-    public void waitsFor(BodyTransfer.Side side) {
+    public void waitingFor(BodyTransfer.Side side) {
         boolean isSink = side == BodyTransfer.Side.SINK;
         if (isSink != waitsForClient) {
             waitsForClient = isSink;
--- a/daemon/src/main/java/portrelay/net/connection/Connector.java
+++ b/daemon/src/main/java/portrelay/net/connection/Connector.java
@@ -33,7 +33,7 @@
 public final class Connector {
 
     /** Undertow's client requires a URI; the actual address is passed to the {@link Opener}. */
-    private static final URI UNUSED = URI.create("http://127.0.0.1:1");
+    private static final URI PLACEHOLDER_URI = URI.create("http://127.0.0.1:1");
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
@@ -42,7 +42,7 @@
 
         /** Begins to open a connection; {@code opened} is called with the connection once it is open. */
         IoFuture<StreamConnection> open(
-                InetSocketAddress to, ChannelListener<? super StreamConnection> opened, OptionMap options);
+                InetSocketAddress address, ChannelListener<? super StreamConnection> opened, OptionMap options);
     }
 
     private final EventLoop loop;
@@ -83,8 +83,8 @@
      * @param timeoutSeconds the connect timeout in seconds, or 0 for the kernel's timeout
      */
     public ConnectAttempt connect(
-            InetSocketAddress to, double timeoutSeconds, Consumer<HttpConnection> opened, Runnable failed) {
-        return new ConnectAttempt(to, timeoutSeconds, opened, failed);
+            InetSocketAddress address, double timeoutSeconds, Consumer<HttpConnection> opened, Runnable failed) {
+        return new ConnectAttempt(address, timeoutSeconds, opened, failed);
     }
 
     /** Returns the number of connections that are open or being opened. */
@@ -101,12 +101,12 @@
     }
 
     /** Marks the connection as idle; it may now be closed to make room for another. */
-    public void idle(HttpConnection connection) {
+    public void markIdle(HttpConnection connection) {
         idle.add(connection);
     }
 
     /** Marks the connection as in use; it is no longer closed to make room for another. */
-    public void inUse(HttpConnection connection) {
+    public void markInUse(HttpConnection connection) {
         idle.remove(connection);
     }
 
@@ -137,7 +137,7 @@
         private boolean isOver;
 
         private ConnectAttempt(
-                InetSocketAddress to, double timeoutSeconds, Consumer<HttpConnection> opened, Runnable failed) {
+                InetSocketAddress address, double timeoutSeconds, Consumer<HttpConnection> opened, Runnable failed) {
             this.opened = opened;
             this.failed = failed;
             if (openCount >= maxConnections && !closeLongestIdle()) {
@@ -152,14 +152,14 @@
                 // it.
                 timeout = loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> failed(null)));
             }
-            begin(to);
+            begin(address);
         }
 
-        private void begin(InetSocketAddress to) {
-            ioThread.address = to;
+        private void begin(InetSocketAddress address) {
+            ioThread.address = address;
             ioThread.connecting = null;
             try {
-                client.connect(this, null, UNUSED, ioThread, null, buffers, OPTIONS);
+                client.connect(this, null, PLACEHOLDER_URI, ioThread, null, buffers, OPTIONS);
             } catch (RuntimeException e) {
                 // The attempt could not start and must not remain counted.
                 failed(new IOException(e));
@@ -171,7 +171,7 @@
         }
 
         /** Cancels the attempt; neither callback is called afterwards. */
-        public void giveUp() {
+        public void cancel() {
             if (end()) {
                 openCount--;
             }
--- a/daemon/src/main/java/portrelay/net/connection/HttpConnection.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpConnection.java
@@ -27,7 +27,7 @@
     /** Null while the connection is idle or closed. */
     private HttpExchange current;
     /** Called at the end of a streamed response; null if none is set. */
-    private Runnable freeListener;
+    private Runnable reusableListener;
 
     HttpConnection(
             EventLoop loop,
@@ -57,7 +57,7 @@
      * the next response. Reads from the socket to find out, and closes the connection if bytes were received or the
      * upstream has ended the connection.
      */
-    public boolean hasBeenIdle() {
+    public boolean verifyIdle() {
         if (!isUsable()) {
             return false;
         }
@@ -76,13 +76,13 @@
      * Whether the last byte of the current request was sent. Also true if that is unknown because there is no current
      * exchange, as after its end.
      */
-    public boolean written() {
+    public boolean isRequestWritten() {
         return current == null || current.isRequestWritten();
     }
 
     /** Sets a listener that is called once, when a streamed response is complete and the connection is reusable. */
-    public void onFree(Runnable listener) {
-        freeListener = listener;
+    public void onReusable(Runnable listener) {
+        reusableListener = listener;
     }
 
     /** Adds a listener that is called when the connection closes, whichever side closes it. */
@@ -159,17 +159,17 @@
 
     /** Ends the current exchange; closes the connection if request bytes are unwritten or received bytes are unread. */
     void exchangeCompleted() {
-        boolean isReusable = written() && filter.hasNothingUnread();
+        boolean isReusable = isRequestWritten() && filter.hasNothingUnread();
         current = null;
         if (!isReusable) {
             close();
         }
     }
 
-    /** Notifies the free listener that a streamed response is complete, if the connection is reusable. */
+    /** Notifies the listener that a streamed response is complete, if the connection is reusable. */
     void streamCompleted() {
-        if (isUsable() && freeListener != null) {
-            freeListener.run();
+        if (isUsable() && reusableListener != null) {
+            reusableListener.run();
         }
     }
 }
--- a/daemon/src/main/java/portrelay/net/connection/HttpExchange.java
+++ b/daemon/src/main/java/portrelay/net/connection/HttpExchange.java
@@ -56,13 +56,13 @@
     }
 
     void start() {
-        guarded(() -> connection.sendRequest(call.head(), this));
+        failOnException(() -> connection.sendRequest(call.head(), this));
     }
 
     /** Whether the last byte of the request was sent. */
     boolean isRequestWritten() {
         if (call.requestBody() != null) {
-            return call.requestBody().written();
+            return call.requestBody().isWritten();
         }
         return call.body().length == 0 ? connection.bytesSent() > bytesSentBefore : !unwritten.hasRemaining();
     }
@@ -77,8 +77,8 @@
     public void completed(ClientExchange exchange) {
         exchange.setResponseListener(new ClientCallback<>() {
             @Override
-            public void completed(ClientExchange answered) {
-                guarded(() -> receive(answered));
+            public void completed(ClientExchange responseExchange) {
+                failOnException(() -> receive(responseExchange));
             }
 
             @Override
@@ -110,7 +110,7 @@
     }
 
     /** Runs a step, and fails the exchange on any exception that Undertow throws for a response that it can't read. */
-    private void guarded(Runnable step) {
+    private void failOnException(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -142,15 +142,15 @@
         sink.resumeWrites();
     }
 
-    private void receive(ClientExchange answered) {
-        head = answered.getResponse();
+    private void receive(ClientExchange responseExchange) {
+        head = responseExchange.getResponse();
         long length = length(head);
         if (length > (isStreamable() ? HttpCall.MAX_BODY : maxBuffered)) {
             fail();
         } else if (length > maxBuffered) {
-            stream(answered.getResponseChannel());
+            stream(responseExchange.getResponseChannel());
         } else {
-            read(answered.getResponseChannel());
+            read(responseExchange.getResponseChannel());
         }
     }
 
--- a/daemon/src/main/java/portrelay/net/connection/RequestBody.java
+++ b/daemon/src/main/java/portrelay/net/connection/RequestBody.java
@@ -68,18 +68,18 @@
     }
 
     /** Whether the last byte was sent to the upstream. */
-    public boolean written() {
+    public boolean isWritten() {
         return isWritten;
     }
 
     /** Sets the listener; must be called before an attempt starts to send the body. */
-    public void listener(Listener clientSide) {
+    public void setListener(Listener clientSide) {
         listener = clientSide;
     }
 
     /** Sets a callback that runs once, when the last byte was sent to the upstream. */
-    public void onWritten(Runnable then) {
-        writtenListener = then;
+    public void onWritten(Runnable callback) {
+        writtenListener = callback;
     }
 
     /**
--- a/daemon/src/main/java/portrelay/net/connection/ResponseFramingFilter.java
+++ b/daemon/src/main/java/portrelay/net/connection/ResponseFramingFilter.java
@@ -83,7 +83,7 @@
     private void parse() throws IOException {
         boolean wasInHead = framing.isInHead();
         int start = raw.position();
-        framing.follow(raw);
+        framing.parse(raw);
         if (framing.isMalformed()) {
             throw new IOException("malformed response");
         }
@@ -106,20 +106,20 @@
 
     /** Returns the head without the headers that contain control characters, as Undertow would fail the response. */
     private static ByteBuffer withoutUnreadableHeaders(ByteBuffer head) {
-        ByteBuffer kept = ByteBuffer.allocate(head.remaining());
+        ByteBuffer filtered = ByteBuffer.allocate(head.remaining());
         int lineStart = 0;
-        boolean isText = true;
+        boolean isPrintable = true;
         while (head.hasRemaining()) {
             byte b = head.get();
-            isText &= b >= ' ' && b != 127 || b == '\t' || b == '\r' || b == '\n';
+            isPrintable &= b >= ' ' && b != 127 || b == '\t' || b == '\r' || b == '\n';
             if (b == '\n') {
-                if (isText || lineStart == 0) {
-                    kept.put(head.slice(lineStart, head.position() - lineStart));
+                if (isPrintable || lineStart == 0) {
+                    filtered.put(head.slice(lineStart, head.position() - lineStart));
                 }
                 lineStart = head.position();
-                isText = true;
+                isPrintable = true;
             }
         }
-        return kept.flip();
+        return filtered.flip();
     }
 }
--- a/daemon/src/main/java/portrelay/net/connection/StreamedResponse.java
+++ b/daemon/src/main/java/portrelay/net/connection/StreamedResponse.java
@@ -57,8 +57,8 @@
     }
 
     @Override
-    public void waitsFor(BodyTransfer.Side side) {
-        listener.waitsFor(side);
+    public void waitingFor(BodyTransfer.Side side) {
+        listener.waitingFor(side);
     }
 
     @Override
--- a/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
+++ b/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
@@ -108,7 +108,7 @@
     /** Asks another discovery, at once and for its complete list: its versions need not follow the other's. */
     public void setAddress(InetSocketAddress newAddress) {
         mailbox.post(() -> {
-            log.info("discovery address changed: address=" + SocketAddresses.text(newAddress));
+            log.info("discovery address changed: address=" + SocketAddresses.format(newAddress));
             address = newAddress;
             version = NO_VERSION;
             watchCalls.addressChanged();
@@ -169,7 +169,7 @@
         OutstandingCall call = outstanding.remove(callId);
         call.timeout.remove();
         if (call.connectAttempt != null) {
-            call.connectAttempt.giveUp();
+            call.connectAttempt.cancel();
         }
         if (call.connection != null) {
             call.connection.close();
@@ -196,7 +196,7 @@
                 : WireNames.ENDPOINTS_PATH + "?" + WireNames.AFTER_VERSION + "=" + version + "&"
                         + WireNames.WATCH_WAIT_MS + "=" + (long) (waitSeconds * 1e3);
         HttpCall request = HttpCall.of(Methods.GET, target, HttpCall.NO_BODY);
-        request.headers().put(Headers.HOST, SocketAddresses.text(address));
+        request.headers().put(Headers.HOST, SocketAddresses.format(address));
         connection.exchange(request, MAX_LIST_BYTES, result -> mailbox.post(() -> answered(callId, call, result)));
     }
 
--- a/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
+++ b/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
@@ -44,7 +44,7 @@
         void transferred();
 
         /** Called each time the transfer begins to wait until {@code side} delivers or accepts more bytes. */
-        default void waitsFor(Side side) {}
+        default void waitingFor(Side side) {}
     }
 
     /** The two sides of a transfer. */
@@ -69,7 +69,7 @@
     private static final int AT_END = -1;
 
     private static final int READ_FAILED = -2;
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+    private static final ByteBuffer EMPTY_BUFFER = ByteBuffer.allocate(0);
 
     private final EventLoop loop;
     private final ByteBufferPool pool;
@@ -118,7 +118,7 @@
         source.getReadSetter().set(channel -> run());
         sink.getWriteSetter().set(channel -> run());
         run();
-        checkPatience();
+        checkTimeouts();
     }
 
     /** Ends the transfer and releases the buffer; neither channel is used afterwards. */
@@ -224,7 +224,7 @@
         } catch (IOException | RuntimeException e) {
             count = READ_FAILED;
         }
-        piece = count > 0 ? buffer.flip() : NOTHING;
+        piece = count > 0 ? buffer.flip() : EMPTY_BUFFER;
         return count;
     }
 
@@ -262,10 +262,10 @@
             source.suspendReads();
             sink.resumeWrites();
         }
-        listener.waitsFor(side);
+        listener.waitingFor(side);
     }
 
-    private void checkPatience() {
+    private void checkTimeouts() {
         if (isOver) {
             return;
         }
@@ -275,7 +275,7 @@
         } else if (overdue == Side.SOURCE) {
             failSource();
         } else {
-            loop.schedule(CHECK_INTERVAL_SECONDS, this::checkPatience);
+            loop.schedule(CHECK_INTERVAL_SECONDS, this::checkTimeouts);
         }
     }
 
@@ -299,7 +299,7 @@
         if (pooled != null) {
             pooled.close();
             pooled = null;
-            piece = NOTHING;
+            piece = EMPTY_BUFFER;
         }
     }
 }
--- a/daemon/src/main/java/portrelay/net/http/Framing.java
+++ b/daemon/src/main/java/portrelay/net/http/Framing.java
@@ -53,10 +53,10 @@
     /** 0 until a response's first line is read. */
     private int status;
 
-    /** Whether the current message, being complete, is counted in {@link #messages}. */
+    /** Whether the current message, being complete, is counted in {@link #completeMessageCount}. */
     private boolean isCounted;
 
-    private int messages;
+    private int completeMessageCount;
 
     private Framing(boolean isResponse) {
         this.isResponse = isResponse;
@@ -93,8 +93,8 @@
     }
 
     /** Returns the number of complete messages. */
-    public int messages() {
-        return messages;
+    public int completeMessageCount() {
+        return completeMessageCount;
     }
 
     /** Whether no byte of an incomplete message was received. */
@@ -125,7 +125,7 @@
      * Advances the position of the buffer past well-formed bytes, up to the end of a head, of a response or of the
      * buffer. If the message is malformed, the position stops before the part of the offending line in this buffer.
      */
-    public void follow(ByteBuffer bytes) {
+    public void parse(ByteBuffer bytes) {
         boolean wasInHead = isInHead();
         while (bytes.hasRemaining() && state != State.MALFORMED) {
             switch (state) {
@@ -141,7 +141,7 @@
             }
             if (state == State.COMPLETE && !isCounted) {
                 isCounted = true;
-                messages++;
+                completeMessageCount++;
             }
             if (wasInHead && !isInHead()) {
                 return;
@@ -214,10 +214,10 @@
         boolean hasCarriageReturn = line.length() > 1 && line.charAt(line.length() - 2) == '\r';
         String text = line.substring(0, line.length() - (hasCarriageReturn ? 2 : 1));
         line.setLength(0);
-        state = hasCarriageReturn || !isResponse && isInHead() ? next(text) : State.MALFORMED;
+        state = hasCarriageReturn || !isResponse && isInHead() ? nextState(text) : State.MALFORMED;
     }
 
-    private State next(String text) {
+    private State nextState(String text) {
         return switch (state) {
             case FIRST_LINE -> firstLine(text);
             case HEADERS -> text.isEmpty() ? headEnd() : header(text);
@@ -249,7 +249,7 @@
      * request is passed through with all bytes that follow, so that its reader answers it and closes the connection.
      */
     private State headEnd() {
-        if (fields.isAmbiguous() || fields.hasLengthAndCoding()) {
+        if (fields.isAmbiguous() || fields.hasLengthAndTransferCoding()) {
             return isResponse ? State.MALFORMED : State.UNTIL_CLOSE;
         }
         if (isInterim()) {
--- a/daemon/src/main/java/portrelay/net/http/HeadFields.java
+++ b/daemon/src/main/java/portrelay/net/http/HeadFields.java
@@ -20,13 +20,13 @@
     }
 
     private String length;
-    private String coding;
+    private String transferCoding;
     private boolean isAmbiguous;
     private boolean closesConnection;
 
     void clear() {
         length = null;
-        coding = null;
+        transferCoding = null;
         isAmbiguous = false;
         closesConnection = false;
     }
@@ -37,8 +37,8 @@
     }
 
     /** Whether both Content-Length and Transfer-Encoding are present, so that other recipients may use either. */
-    boolean hasLengthAndCoding() {
-        return length != null && coding != null;
+    boolean hasLengthAndTransferCoding() {
+        return length != null && transferCoding != null;
     }
 
     boolean hasLength() {
@@ -46,7 +46,7 @@
     }
 
     boolean isChunked() {
-        return coding != null;
+        return transferCoding != null;
     }
 
     /** Returns the Content-Length in bytes; call it only if the field is present and nothing is ambiguous. */
@@ -77,8 +77,8 @@
             length = value;
         } else if (isNamed(line, colon, TRANSFER_ENCODING)) {
             String value = line.substring(colon + 1).trim();
-            isAmbiguous |= coding != null || !value.equalsIgnoreCase("chunked");
-            coding = value;
+            isAmbiguous |= transferCoding != null || !value.equalsIgnoreCase("chunked");
+            transferCoding = value;
         } else if (isNamed(line, colon, CONNECTION)) {
             closesConnection |= line.substring(colon + 1).trim().equalsIgnoreCase("close");
         }
--- a/daemon/src/main/java/portrelay/net/http/HeaderForwarding.java
+++ b/daemon/src/main/java/portrelay/net/http/HeaderForwarding.java
@@ -50,8 +50,8 @@
     }
 
     private static boolean contains(String list, HttpString name) {
-        for (String each : list.split(",", -1)) {
-            if (each.trim().equals(name.toString().toLowerCase(Locale.ROOT))) {
+        for (String element : list.split(",", -1)) {
+            if (element.trim().equals(name.toString().toLowerCase(Locale.ROOT))) {
                 return true;
             }
         }
--- a/daemon/src/main/java/portrelay/net/http/SocketAddresses.java
+++ b/daemon/src/main/java/portrelay/net/http/SocketAddresses.java
@@ -42,7 +42,7 @@
     }
 
     /** Formats an address as in a Host header; {@link #parse} accepts the result. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + address.getPort();
     }
--- a/daemon/src/main/java/portrelay/net/http/TransferWaits.java
+++ b/daemon/src/main/java/portrelay/net/http/TransferWaits.java
@@ -43,13 +43,14 @@
         if (waitingFor == BodyTransfer.Side.SINK && waiting > timeouts.maxSinkSilence()) {
             return BodyTransfer.Side.SINK;
         }
-        boolean isSource = waitingFor == BodyTransfer.Side.SOURCE;
-        double allWait = sourceWait + (isSource ? waiting : 0);
-        boolean isTooSlow = allWait > RATE_WINDOW_SECONDS && sourceBytes < allWait * timeouts.minSourceRate();
-        if (isSource && (waiting > timeouts.maxSourceSilence() || isTooSlow)) {
+        boolean isWaitingForSource = waitingFor == BodyTransfer.Side.SOURCE;
+        double totalSourceWait = sourceWait + (isWaitingForSource ? waiting : 0);
+        boolean isTooSlow =
+                totalSourceWait > RATE_WINDOW_SECONDS && sourceBytes < totalSourceWait * timeouts.minSourceRate();
+        if (isWaitingForSource && (waiting > timeouts.maxSourceSilence() || isTooSlow)) {
             return BodyTransfer.Side.SOURCE;
         }
-        if (allWait > RATE_WINDOW_SECONDS) {
+        if (totalSourceWait > RATE_WINDOW_SECONDS) {
             sourceWait = 0;
             sourceBytes = 0;
         }
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
@@ -141,7 +141,7 @@
     }
 
     private static HandoverState.Owner owner(SidecarConfig config) {
-        String listen = config.listen().getPort() == 0 ? "" : SocketAddresses.text(config.listen());
+        String listen = config.listen().getPort() == 0 ? "" : SocketAddresses.format(config.listen());
         return new HandoverState.Owner(config.name(), listen, config.settings().requestClassNames());
     }
 
--- a/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
@@ -30,7 +30,7 @@
         } catch (IOException e) {
             throw new IOException("listen: " + e.getMessage(), e);
         }
-        components.log.info("listening: address=" + SocketAddresses.text(components.frontend.address()));
+        components.log.info("listening: address=" + SocketAddresses.format(components.frontend.address()));
         components.loop.execute(components::updateClientLimit);
     }
 
@@ -65,7 +65,7 @@
         if (handover == null) {
             becomeReady();
         } else {
-            handover.announceServing(SocketAddresses.text(components.frontend.address()), this::becomeReady);
+            handover.announceServing(SocketAddresses.format(components.frontend.address()), this::becomeReady);
         }
     }
 
@@ -90,7 +90,7 @@
             if (components.admin != null) {
                 components.admin.setReady(true);
             }
-            components.log.info("ready: listen=" + SocketAddresses.text(components.frontend.address()));
+            components.log.info("ready: listen=" + SocketAddresses.format(components.frontend.address()));
         }
         ready.complete(null);
     }
--- a/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
@@ -38,7 +38,7 @@
     }
 
     void add(HttpConnection connection) {
-        connector.idle(connection);
+        connector.markIdle(connection);
         newestFirst.addFirst(new Idle(connection, loop.now()));
         scheduleSweep();
     }
@@ -46,8 +46,8 @@
     /** The newest one that may be written to now; null where there is none. */
     HttpConnection poll() {
         for (HttpConnection newest = pollRested(); newest != null; newest = pollRested()) {
-            connector.inUse(newest);
-            if (newest.hasBeenIdle()) {
+            connector.markInUse(newest);
+            if (newest.verifyIdle()) {
                 return newest;
             }
         }
--- a/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
+++ b/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
@@ -231,7 +231,7 @@
             return;
         }
         if (result.remainder() != null) {
-            attempt.connection.onFree(() -> mailbox.post(() -> keepIdle(attempt, attempt.connection)));
+            attempt.connection.onReusable(() -> mailbox.post(() -> keepIdle(attempt, attempt.connection)));
         } else if (attempt.connection.isUsable()) {
             keepIdle(attempt, attempt.connection);
         }
@@ -257,9 +257,9 @@
         if (attempt == null) {
             return;
         }
-        boolean isWritten = attempt.connection != null && attempt.connection.written();
+        boolean isWritten = attempt.connection != null && attempt.connection.isRequestWritten();
         if (attempt.connectAttempt != null) {
-            attempt.connectAttempt.giveUp();
+            attempt.connectAttempt.cancel();
         }
         if (attempt.connection != null) {
             attempt.connection.close();
--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -241,7 +241,7 @@
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             PrintStream none = new PrintStream(OutputStream.nullOutputStream());
             Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
-            String at = SocketAddresses.text(old.address());
+            String at = SocketAddresses.format(old.address());
             Sidecar next = Sidecar.start(config(discovery, upstream, at), none, dir);
             List<Socket> clients = new ArrayList<>();
             Thread drain;
@@ -362,7 +362,7 @@
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(oldLog, true), dir);
             Sidecar next = Sidecar.start(
-                    config(discovery, upstream, SocketAddresses.text(old.address())),
+                    config(discovery, upstream, SocketAddresses.format(old.address())),
                     new PrintStream(nextLog, true),
                     dir);
             Thread ends;
@@ -403,8 +403,8 @@
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             PrintStream none = new PrintStream(OutputStream.nullOutputStream());
             Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
-            Sidecar next =
-                    Sidecar.open(config(discovery, upstream, SocketAddresses.text(old.address())), none, dir, ENDLESS);
+            Sidecar next = Sidecar.open(
+                    config(discovery, upstream, SocketAddresses.format(old.address())), none, dir, ENDLESS);
             long start = System.nanoTime();
             next.drain();
             assertTrue(since(start) < 0.6, "waits for nobody");
@@ -429,7 +429,7 @@
             PrintStream none = new PrintStream(OutputStream.nullOutputStream());
             Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
             InetSocketAddress at = old.address();
-            Sidecar next = Sidecar.open(config(discovery, upstream, SocketAddresses.text(at)), none, dir, ENDLESS);
+            Sidecar next = Sidecar.open(config(discovery, upstream, SocketAddresses.format(at)), none, dir, ENDLESS);
             old.close();
             Message got = null;
             for (int i = 0; got == null; i++) {
@@ -466,7 +466,7 @@
             // At another address, and at ours with no request class in common.
             SidecarConfig elsewhere = config(discovery, upstream, "127.0.0.1:0");
             String other = SidecarFixture.config(discovery.address(), "{\"seq\":1,\"hosts\":[]}", 512)
-                    .replace("127.0.0.1:0\",\"mgmt", SocketAddresses.text(ours.address()) + "\",\"mgmt")
+                    .replace("127.0.0.1:0\",\"mgmt", SocketAddresses.format(ours.address()) + "\",\"mgmt")
                     .replace("\"read\"", "\"level\"")
                     .replace("\"save\"", "\"valve\"")
                     .replace("\"issue\"", "\"dose\"");
--- a/daemon/src/test/java/portrelay/net/HandoverNetTest.java
+++ b/daemon/src/test/java/portrelay/net/HandoverNetTest.java
@@ -81,7 +81,7 @@
     }
 
     private static String at(Sidecar sidecar) {
-        return SocketAddresses.text(sidecar.address());
+        return SocketAddresses.format(sidecar.address());
     }
 
     private static Message say(InetSocketAddress to, String bytes) throws IOException {
--- a/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
@@ -74,7 +74,7 @@
         Connector toUpstreams = new Connector(clock, buffers, 8, n -> {});
         toDiscovery = new Connector(clock, buffers, 3, n -> {});
         list = new DiscoveryActor(clock, log, toDiscovery, config.discovery(), module, at -> {
-            String address = SocketAddresses.text(at);
+            String address = SocketAddresses.format(at);
             upstreamsMade.merge(address, 1, Integer::sum);
             if (address.equals(failsNextUpstream.get())) {
                 failsNextUpstream.set(null);
--- a/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
+++ b/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
@@ -28,7 +28,7 @@
      * as not sent.
      */
     @Test
-    void aCompletedExchangeCountsAsWritten() throws Exception {
+    void completedExchangeCountsAsWritten() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
@@ -39,12 +39,13 @@
             loop.execute(() -> connector.connect(
                     (InetSocketAddress) listener.getLocalSocketAddress(),
                     5,
-                    connection -> connection.exchange(call, 9, result -> written.complete(connection.written())),
+                    connection ->
+                            connection.exchange(call, 9, result -> written.complete(connection.isRequestWritten())),
                     () -> written.completeExceptionally(new AssertionError("the connection was not opened"))));
             try (Socket upstream = listener.accept()) {
                 upstream.getInputStream().read();
-                String answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                upstream.getOutputStream().write(answer.getBytes(ISO_8859_1));
+                String response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+                upstream.getOutputStream().write(response.getBytes(ISO_8859_1));
                 assertTrue(written.get(5, TimeUnit.SECONDS));
             }
         } finally {
--- a/daemon/src/test/java/portrelay/net/http/BodyTransferTest.java
+++ b/daemon/src/test/java/portrelay/net/http/BodyTransferTest.java
@@ -52,14 +52,14 @@
         }
 
         @Override
-        public void waitsFor(BodyTransfer.Side side) {
+        public void waitingFor(BodyTransfer.Side side) {
             otherCalls++;
         }
     }
 
     /** Guards against a read, and a buffer that is never released, after the listener has stopped the transfer. */
     @Test
-    void aTransferThatItsListenerStopsReadsNothingMore() throws Exception {
+    void transferStoppedByItsListenerReadsNothingMore() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
         FutureTask<Integer> unread = new FutureTask<>(() -> {
