--- a/core/src/main/java/portrelay/admission/ConnectionCapacity.java
+++ b/core/src/main/java/portrelay/admission/ConnectionCapacity.java
@@ -244,8 +244,8 @@
     }
 
     private ClientId oldest(Phase phase) {
-        Iterator<ClientId> each = byPhase.get(phase).iterator();
-        return each.hasNext() ? each.next() : null;
+        Iterator<ClientId> iterator = byPhase.get(phase).iterator();
+        return iterator.hasNext() ? iterator.next() : null;
     }
 
     private double age(double now, ClientId id) {
--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -46,16 +46,16 @@
     public record AttemptReport(AttemptEvent event, int code, int tenant, double idleTimeOrDurationRatio)
             implements PeerMessage {}
 
-    /** Interval between two asks while too few members are known. */
-    private static final double URGENT_ASK_INTERVAL_SECONDS = 0.05;
+    /** Interval between two zone queries while too few members are known. */
+    private static final double URGENT_QUERY_INTERVAL_SECONDS = 0.05;
 
-    /** Interval otherwise. This is the mean: each sidecar has an interval of its own, to keep the asks apart. */
-    private static final double ASK_INTERVAL_SECONDS = 10;
-    /** After this many unanswered asks, all sidecars have probably just started and none can answer. */
+    /** Interval otherwise. This is the mean: each sidecar has an interval of its own, to keep the queries apart. */
+    private static final double QUERY_INTERVAL_SECONDS = 10;
+    /** After this many unanswered queries, all sidecars have probably just started and none can answer. */
     private static final int UNANSWERED_BEFORE_BROADCAST = 2;
     /** With more sidecars a broadcast takes as long as spreading zones from one sidecar to the next. */
     private static final int MAX_BROADCAST_SIDECARS = 1000;
-    /** A sidecar with less uptime knows too few zones to answer: the asking sidecar would stop asking others. */
+    /** A sidecar with less uptime knows too few zones to answer: the querying sidecar would stop querying others. */
     private static final double MIN_UPTIME_TO_ANSWER_SECONDS = 1;
 
     private final LoadBalancerActions actions;
@@ -64,26 +64,28 @@
     private final char ownZone;
     private final TreeMap<Integer, Character> members = new TreeMap<>(Comparator.comparing(Rendezvous::hashToUnit));
     private List<Integer> subsetPeers = List.of();
-    private double nextAskAt;
-    private int asksSent;
+    private double nextQueryAt;
+    private int queriesSent;
     private boolean wasAnswered;
     /**
-     * Whether a member or its zone has become known since the last ask; if so, the next ask follows soon. Guards
+     * Whether a member or its zone has become known since the last query; if so, the next query follows soon. Guards
      * against a fleet in which each sidecar knows only a part of the others.
      */
-    private boolean hasLearnedSinceAsk;
+    private boolean hasLearnedSinceQuery;
 
     private double lastReceivedAt;
     private boolean hasChanged;
 
-    /** Creates an instance that knows this sidecar only, and sends its first ask in the first {@link #advance}. */
+    /**
+     * Creates an instance that knows this sidecar only, and sends its first zone query in the first {@link #advance}.
+     */
     public PeerMembership(LoadBalancerActions actions, Topology topology, double now) {
         this.actions = actions;
         this.topology = topology;
         this.ownZone = PeerMessageCodec.zoneCode(
                 topology.zone() == null ? 0 : topology.zone().value());
         this.startedAt = now;
-        this.nextAskAt = now;
+        this.nextQueryAt = now;
         this.lastReceivedAt = now;
         members.put(topology.sidecarIndex(), ownZone);
     }
@@ -124,28 +126,28 @@
         return changed;
     }
 
-    /** Asks another sidecar for all zones if an ask is due; varies the sidecar from one ask to the next. */
+    /** Asks another sidecar for all zones if a query is due; varies the sidecar from one query to the next. */
     public void advance(double now) {
-        if (now < nextAskAt || topology.usesRendezvousSubsets()) {
+        if (now < nextQueryAt || topology.usesRendezvousSubsets()) {
             return;
         }
-        boolean isUnanswered = asksSent <= UNANSWERED_BEFORE_BROADCAST && !wasAnswered;
-        boolean isUrgent = isUnanswered || isMinorityKnown() || hasLearnedSinceAsk;
-        nextAskAt = now + (isUrgent ? URGENT_ASK_INTERVAL_SECONDS : jitteredAskInterval());
+        boolean isUnanswered = queriesSent <= UNANSWERED_BEFORE_BROADCAST && !wasAnswered;
+        boolean isUrgent = isUnanswered || isMinorityKnown() || hasLearnedSinceQuery;
+        nextQueryAt = now + (isUrgent ? URGENT_QUERY_INTERVAL_SECONDS : jitteredQueryInterval());
         if (isUnanswered
-                && asksSent == UNANSWERED_BEFORE_BROADCAST
+                && queriesSent == UNANSWERED_BEFORE_BROADCAST
                 && topology.sidecarCount() <= MAX_BROADCAST_SIDECARS) {
             actions.broadcastToPeers(PeerMessageCodec.hello(ownZone, false));
         } else {
-            actions.sendToPeer(nextPeerToAsk(), PeerMessageCodec.hello(ownZone, true));
+            actions.sendToPeer(nextPeerToQuery(), PeerMessageCodec.hello(ownZone, true));
         }
-        asksSent++;
-        hasLearnedSinceAsk = false;
+        queriesSent++;
+        hasLearnedSinceQuery = false;
     }
 
     /** Returns the time by which {@link #advance} has to be called. */
     public double nextWakeUp() {
-        return topology.usesRendezvousSubsets() ? Double.POSITIVE_INFINITY : nextAskAt;
+        return topology.usesRendezvousSubsets() ? Double.POSITIVE_INFINITY : nextQueryAt;
     }
 
     // ---- Sending ----------------------------------------------------------------------------------------
@@ -243,7 +245,7 @@
         if (isSidecarIndex(sidecar) && sidecar != topology.sidecarIndex() && zone != PeerMessageCodec.UNKNOWN_ZONE) {
             Character previous = members.put(sidecar, zone);
             hasChanged |= previous == null || previous != zone;
-            hasLearnedSinceAsk |= hasChanged;
+            hasLearnedSinceQuery |= hasChanged;
         }
     }
 
@@ -251,13 +253,13 @@
         return index >= 0 && index < topology.sidecarCount();
     }
 
-    private double jitteredAskInterval() {
-        return ASK_INTERVAL_SECONDS * (0.75 + Rendezvous.hashToUnit(topology.sidecarIndex()) / 2);
+    private double jitteredQueryInterval() {
+        return QUERY_INTERVAL_SECONDS * (0.75 + Rendezvous.hashToUnit(topology.sidecarIndex()) / 2);
     }
 
-    private int nextPeerToAsk() {
+    private int nextPeerToQuery() {
         int sidecars = topology.sidecarCount();
-        int seed = topology.sidecarIndex() + asksSent * sidecars;
+        int seed = topology.sidecarIndex() + queriesSent * sidecars;
         int step = 1 + (int) (Rendezvous.hashToUnit(seed) * (sidecars - 1));
         return (topology.sidecarIndex() + step) % sidecars;
     }
