--- a/daemon/src/main/java/portrelay/cli/CheckCommand.java
+++ b/daemon/src/main/java/portrelay/cli/CheckCommand.java
@@ -17,8 +17,8 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** Runs the warm-up alone: exit code 1 where the configuration served none of its requests. */
-@Parameters(commandDescription = "read a configuration and try it out in memory, on no socket")
+/** Runs only the warm-up; exits with code 1 if none of its requests was served. */
+@Parameters(commandDescription = "read a configuration and try it out in memory, without sockets")
 final class CheckCommand extends ConfigCommand {
 
     private static final int DOES_NOT_SERVE = 1;
@@ -27,14 +27,14 @@
 
     @Parameter(
             names = "--open",
-            description = "also start the sidecar, at a loopback port of the system's choice, and shut it down")
+            description = "also start the sidecar, at a loopback port that the system chooses, and shut it down")
     private boolean opensSidecar;
 
     @Override
     int run(SidecarConfig config) throws IOException, InvalidSettingException {
         config.ignoredSettings().forEach(each -> System.out.println("not yet on sockets: " + each));
         boolean serves = Sidecar.check(config);
-        System.out.println(serves ? "the configuration serves" : "no query was handled with it");
+        System.out.println(serves ? "the configuration serves" : "the configuration served no request");
         if (serves && opensSidecar) {
             open(config.withListen(ANY_PORT).withMgmt(ANY_PORT));
             System.out.println("the sidecar starts and shuts down");
@@ -42,7 +42,7 @@
         return serves ? 0 : DOES_NOT_SERVE;
     }
 
-    /** Its log goes nowhere: discovery need not be there. */
+    /** Starts the sidecar and shuts it down. Its log is discarded, as discovery need not be reachable. */
     private static void open(SidecarConfig config) throws IOException, InvalidSettingException {
         Path handoverDirectory = Files.createTempDirectory("portrelay-check");
         try (Sidecar sidecar = Sidecar.start(
--- a/daemon/src/main/java/portrelay/cli/Command.java
+++ b/daemon/src/main/java/portrelay/cli/Command.java
@@ -1,8 +1,8 @@
 package portrelay.cli;
 
-/** A sub-command; its options are fields that JCommander sets before it runs. */
+/** A sub-command. Its options are fields that JCommander sets before the command runs. */
 public interface Command {
 
-    /** Returns the exit code: 0 for success. */
+    /** Runs the command and returns its exit code: 0 for success. */
     int run();
 }
--- a/daemon/src/main/java/portrelay/cli/ConfigCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ConfigCommand.java
@@ -11,7 +11,8 @@
 import portrelay.settings.InvalidSettingException;
 
 /**
- * A command that takes a sidecar's configuration; a bad one ends it with exit code 2 and one line that names the field.
+ * A command that takes a sidecar's configuration. An invalid configuration ends it with exit code 2 and one line that
+ * names the field.
  */
 abstract class ConfigCommand implements Command {
 
@@ -20,15 +21,20 @@
     @Parameter(names = "--config", description = "a sidecar's configuration, a JSON file")
     private String configFile = System.getenv(SidecarConfig.FILE);
 
-    @Parameter(names = "--door", description = "the door's settings, a JSON file of their own")
+    @Parameter(names = "--door", description = "the admission settings, a separate JSON file")
     private String admissionFile;
 
-    /** Runs with a configuration that has been checked; what it throws is reported as a bad configuration. */
+    /**
+     * Runs the command with a validated configuration.
+     *
+     * @return the exit code
+     * @throws IOException reported as an invalid configuration, as is InvalidSettingException
+     */
     abstract int run(SidecarConfig config) throws IOException, InvalidSettingException, InterruptedException;
 
     @Override
     public final int run() {
-        // Silences the libraries' logging: this process writes its own log.
+        // Turns off logging by libraries, as this process writes its own log.
         LogManager.getLogManager().reset();
         Logger.getLogger("").setLevel(Level.OFF);
         if (configFile == null) {
@@ -46,8 +52,8 @@
     }
 
     /**
-     * Reads the files anew. An admin address in the environment wins over the file's, as it is meant for this process
-     * alone.
+     * Reads the configuration from its files, again with each call. An admin address in the environment takes
+     * precedence over that in the file, as it applies to this process only.
      */
     final SidecarConfig read() throws InvalidSettingException {
         SidecarConfig config = SidecarConfig.parse(readFile(SidecarConfig.FILE, configFile));
@@ -59,9 +65,10 @@
     }
 
     /**
-     * The bytes of a file.
+     * Returns the contents of a file.
      *
-     * @param option that named it, for the message where it can't be read
+     * @param option option or environment variable that names the file, for the error message
+     * @throws InvalidSettingException if the file can't be read
      */
     static byte[] readFile(String option, String file) throws InvalidSettingException {
         try {
--- a/daemon/src/main/java/portrelay/cli/Main.java
+++ b/daemon/src/main/java/portrelay/cli/Main.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The daemon's commands; the kit adds its own to them. */
+/** Runs the daemon's commands, and those that the kit adds. */
 public final class Main {
 
     private static final int BAD_USE = 2;
@@ -16,17 +16,17 @@
 
     private Main() {}
 
-    /** Runs the command that the arguments name and exits with its code. */
+    /** Runs the command that the arguments name and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run("portrelay", Map.of(), args));
     }
 
     /**
-     * Runs the command that the arguments name and returns its exit code; 2 and the usage on standard error where they
-     * name none.
+     * Runs the command that the arguments name and returns its exit code. If they name none, prints the usage on
+     * standard error and returns 2.
      *
-     * @param program the jar's name, for messages
-     * @param additional further commands by their names
+     * @param program name of the program, for messages
+     * @param additional further commands by name
      */
     public static int run(String program, Map<String, Command> additional, String[] args) {
         Map<String, Command> commands = new HashMap<>(Map.of(
--- a/daemon/src/main/java/portrelay/cli/MigrateCommand.java
+++ b/daemon/src/main/java/portrelay/cli/MigrateCommand.java
@@ -12,7 +12,7 @@
 import portrelay.settings.InvalidSettingException;
 import portrelay.settings.Migration;
 
-/** Writes an old configuration anew for another deployment, by {@link Migration}; what could not be kept is listed. */
+/** Converts an old configuration for another deployment, by {@link Migration}, and lists what could not be kept. */
 @Parameters(
         commandDescription = "turn an old configuration into its counterpart for a new shape of "
                 + "deployment; exit 0: all carried over, 1: some left out, 2: bad input and nothing written")
@@ -92,7 +92,8 @@
     }
 
     /**
-     * Writes the file completely or not at all, and never over an existing one: a link fails where its name is taken.
+     * Writes the file completely or not at all, and never over an existing one: creating a link fails if the name is
+     * taken.
      */
     private void write(byte[] json) throws IOException {
         Path target = Path.of(outFile).toAbsolutePath();
--- a/daemon/src/main/java/portrelay/cli/ServeCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ServeCommand.java
@@ -15,7 +15,7 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** Runs one sidecar: SIGHUP reloads its configuration, SIGTERM drains it. */
+/** Runs one sidecar. SIGHUP reloads its configuration, SIGTERM drains it. */
 @Parameters(commandDescription = "run one sidecar until SIGTERM")
 final class ServeCommand extends ConfigCommand {
 
@@ -29,12 +29,12 @@
         Log log = new Log(System.err, config.name());
         config.ignoredSettings().forEach(each -> log.warn("not yet on sockets: " + each));
         onHangUp(() -> reloadOnceOpened(opened, log));
-        // Before anything listens: a SIGTERM during the warm-up must not lose requests either.
+        // Registered before the sidecar listens, so that a SIGTERM during the warm-up loses no requests either.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(opened, isEnding)));
         String handoverDirectory = System.getenv("TMPDIR");
         try {
             if (isEnding.get()) {
-                throw new IOException("told to end before it was opened");
+                throw new IOException("shutdown began before the sidecar was opened");
             }
             Sidecar sidecar =
                     Sidecar.open(config, System.err, handoverDirectory == null ? null : Path.of(handoverDirectory));
@@ -44,28 +44,28 @@
             opened.completeExceptionally(e);
             throw e;
         }
-        // For ever: the JVM ends by a signal, whose shutdown hook drains the sidecar.
+        // Waits forever: a signal ends the JVM, and the shutdown hook drains the sidecar.
         new CountDownLatch(1).await();
         return 0;
     }
 
-    /** Drains the sidecar; waits for one that is still being opened, as it may listen already. */
+    /** Drains the sidecar. Waits for one that is still being opened, as it may listen already. */
     private static void drain(CompletableFuture<Sidecar> opened, AtomicBoolean isEnding) {
-        // Before all else: SIGKILL is timed from the signal, also while the sidecar is being opened.
+        // Taken first: SIGKILL is timed from the signal, also while the sidecar is being opened.
         long receivedAt = System.nanoTime();
         isEnding.set(true);
         try {
             opened.get(OPEN_TIMEOUT_SECONDS, TimeUnit.SECONDS).drain(receivedAt);
         } catch (ExecutionException | TimeoutException e) {
-            // It never listened, or could not be opened in time: no client waits for it.
+            // The sidecar never listened, or could not be opened in time: no client waits for it.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Runs the action at each SIGHUP, which would end the JVM otherwise. The JDK's class for signals is used by
-     * reflection, since the compiler warns of its direct use and that warning can't be suppressed.
+     * Runs the action on each SIGHUP, which would end the JVM otherwise. The JDK's class for signals is used through
+     * reflection, as the compiler warns about its direct use and that warning can't be suppressed.
      */
     private static void onHangUp(Runnable action) {
         try {
@@ -79,17 +79,17 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), actionHandler);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("this JVM does not hand on SIGHUP", e);
+            throw new IllegalStateException("this JVM does not support a handler for SIGHUP", e);
         }
     }
 
-    /** Reload logs its own failures, so the future has no result to look at. */
+    /** Reloads once the sidecar is open. The result of the future is not needed: {@link #reload} logs its failures. */
     @SuppressWarnings("FutureReturnValueIgnored")
     private void reloadOnceOpened(CompletableFuture<Sidecar> opened, Log log) {
         opened.thenAccept(sidecar -> reload(sidecar, log));
     }
 
-    /** Synchronized: reloads run one at a time, so that the file as it was read last stays in force. */
+    /** Synchronized, so that reloads run one at a time and the contents that were read last stay in effect. */
     private synchronized void reload(Sidecar sidecar, Log log) {
         log.info("configuration reload: signal=SIGHUP");
         try {
@@ -97,7 +97,7 @@
         } catch (InvalidSettingException e) {
             log.warn("configuration reload failed, the old one stays: cause=" + e.getMessage());
         } catch (RuntimeException e) {
-            // Nobody else sees it: the sender of a signal has only the log.
+            // Logged here, as the log is the only place where the sender of the signal can see the failure.
             log.fault("configuration reload failed, the old one stays", e);
         }
     }
--- a/daemon/src/main/java/portrelay/cli/SimulateCommand.java
+++ b/daemon/src/main/java/portrelay/cli/SimulateCommand.java
@@ -16,7 +16,7 @@
 
     private final String name;
 
-    /** @param name under which it is called, for its messages */
+    /** @param name name under which the command is called, for its messages */
     SimulateCommand(String name) {
         this.name = name;
     }
--- a/daemon/src/main/java/portrelay/cli/VersionCommand.java
+++ b/daemon/src/main/java/portrelay/cli/VersionCommand.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameters;
 
-/** Prints the version that the jar's manifest names. */
+/** Prints the version from the jar's manifest. */
 @Parameters(commandDescription = "print the version")
 final class VersionCommand implements Command {
 
--- a/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
@@ -15,74 +15,85 @@
 import portrelay.model.EventLoopLag;
 
 /**
- * The I/O thread that all actors of a sidecar run on, with its clock and timers. Nothing that runs here may block. The
- * methods may be called from any thread but where said.
+ * The I/O thread that all actors of a sidecar run on, with its clock and timers. Code that runs on it must not block.
+ * The methods may be called from any thread unless their doc comment says otherwise.
  */
 public class EventLoop implements Executor {
 
-    /** Name of the XNIO worker that has the loop's thread. */
+    /** Name of the XNIO worker that owns the loop's thread. */
     public static final String WORKER_NAME = "portrelay";
 
-    /** The thread's name, which is also its name in the kernel. */
+    /** Name of the loop's thread, in the JVM and in the kernel. */
     public static final String THREAD_NAME = WORKER_NAME + " I/O-1";
 
     private final XnioIoThread thread;
     private final MonotonicClock clock;
     private final EventLoopLag lag = new EventLoopLag();
-    /** A byte written to it is read by the next poll of the kernel. Null until first used. */
+    /**
+     * A pipe to this thread itself: a byte written to it is read with the kernel's next poll. Null until first used.
+     */
     private ChannelPipe<StreamSourceChannel, StreamSinkChannel> pollMarker;
 
     private final Queue<Runnable> tasksAfterPoll = new ArrayDeque<>();
 
+    /** Creates a loop on a running I/O thread; {@code clock} gives the time of {@link #now}. */
     public EventLoop(XnioIoThread thread, MonotonicClock clock) {
         this.thread = thread;
         this.clock = clock;
     }
 
+    /** Returns the I/O thread of this loop. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** How late this thread runs, as measured since {@link #startLagBeat}. For use on the loop. */
+    /** Returns how late this thread runs, measured since {@link #startLagBeat}. To be used on the loop. */
     public EventLoopLag lag() {
         return lag;
     }
 
-    /** On the loop: the earliest time at which what is read now may have arrived at the kernel. */
+    /**
+     * Returns the earliest time at which data that is read now may have arrived at the kernel. To be called on the
+     * loop.
+     */
     public double earliestArrival() {
         return lag.earliestArrival(now());
     }
 
-    /** On the loop: measures the thread's lag from here on, for as long as it runs. */
+    /** Starts to measure the thread's lag, for as long as the loop runs. To be called on the loop. */
     public void startLagBeat() {
         lag.beat(now());
         schedule(EventLoopLag.BEAT_INTERVAL, this::startLagBeat);
     }
 
+    /** Returns the current time on this loop's clock, in seconds. */
     public double now() {
         return clock.now();
     }
 
     /**
-     * A moment on this loop's clock.
+     * Returns a point in time as seconds on this loop's clock.
      *
-     * @param nanos by {@link System#nanoTime}
+     * @param nanos a value of {@link System#nanoTime}
      */
     public double toLoopTime(long nanos) {
         return clock.at(nanos);
     }
 
-    /** Runs the task on the loop, after the call; drops it where the loop has ended. */
+    /** Queues the task to run on the loop, never inside this call. Drops it if the loop has ended. */
     @Override
     public void execute(Runnable task) {
         try {
             thread.execute(task);
         } catch (RejectedExecutionException e) {
-            // The sidecar is closed: nobody waits for what its connections still report.
+            // The sidecar is closed: events of its connections no longer matter.
         }
     }
 
-    /** Runs the task on the loop, never before the delay: it is rounded up to the timer's milliseconds. */
+    /**
+     * Runs the task on the loop once the delay has passed. The delay is rounded up to whole milliseconds, the unit of
+     * the timer, so that the task never runs early. Drops the task if the loop has ended.
+     */
     public XnioExecutor.Key schedule(double delaySeconds, Runnable task) {
         try {
             return thread.executeAfter(task, Math.max(0, (long) Math.ceil(delaySeconds * 1e3)), TimeUnit.MILLISECONDS);
@@ -93,9 +104,9 @@
     }
 
     /**
-     * On the loop: runs the task once everything has been handled that the kernel has by now. Guards a timeout against
-     * an answer that is there unread: XNIO runs every task and due timer before it polls the kernel again, so on a late
-     * loop the timer runs before the answer is read.
+     * Runs the task once all events that the kernel holds now have been handled. To be called on the loop. Prevents a
+     * timeout although the response has already arrived: XNIO runs every task and due timer before it polls the kernel
+     * again, so on a late loop the timer runs before the response is read.
      */
     public void afterPoll(Runnable task) {
         try {
@@ -114,12 +125,15 @@
         }
     }
 
-    /** Executes, not runs, the tasks: what the same poll found is queued as tasks before them. */
+    /**
+     * Queues the tasks instead of running them here, as the other events of the same poll are queued as tasks too and
+     * have to be handled first.
+     */
     private void polled(StreamSourceChannel source) {
         try {
             source.read(ByteBuffer.allocate(8));
         } catch (IOException e) {
-            // The pipe was closed, as the process ends: the tasks run nevertheless.
+            // The pipe is closed because the process ends; the tasks are queued all the same.
         }
         tasksAfterPoll.forEach(this::execute);
         tasksAfterPoll.clear();
--- a/daemon/src/main/java/portrelay/net/eventloop/Log.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/Log.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * Writes a line per event: time, sidecar, level, text. On the info level and above there is no line per request, as
- * that would cost more than the request. Thread-safe where the stream is.
+ * Writes a line per event: time, sidecar, level, text. At the info level and above there is no line per request, as
+ * writing it would cost more than the request itself. Thread-safe if the stream is.
  */
 public final class Log {
 
@@ -14,18 +14,19 @@
     private static final String LEVEL_VARIABLE = "LB_LOG";
 
     private static final int MAX_TRACE_LINES = 12;
-    /** In characters. */
+    /** Longest text that {@link #clean} returns, in characters. */
     private static final int MAX_CLEAN_LENGTH = 80;
 
     private final PrintStream out;
     private final String sidecarName;
     private final boolean isDebug;
 
-    /** Writes at the level that the environment sets. */
+    /** Creates a log with the level that the environment sets. */
     public Log(PrintStream out, String sidecarName) {
         this(out, sidecarName, "debug".equals(System.getenv(LEVEL_VARIABLE)));
     }
 
+    /** Creates a log with the debug level if {@code isDebug}, else with the info level. */
     public Log(PrintStream out, String sidecarName, boolean isDebug) {
         this.out = out;
         this.sidecarName = sidecarName;
@@ -33,9 +34,9 @@
     }
 
     /**
-     * For what is too frequent for the info level, as each request.
+     * Logs events that are too frequent for the info level, such as those of each request.
      *
-     * @param text called only on the debug level
+     * @param text called only at the debug level
      */
     public void debug(Supplier<String> text) {
         if (isDebug) {
@@ -43,15 +44,17 @@
         }
     }
 
+    /** Logs a regular event. */
     public void info(String text) {
         line("info", text);
     }
 
+    /** Logs a problem outside this program, or one that the sidecar can cope with. */
     public void warn(String text) {
         line("warn", text);
     }
 
-    /** An error of this program, with the top of its stack trace. */
+    /** Logs an error in this program, with the top of its stack trace. */
     public void fault(String text, Throwable cause) {
         line("fault", text + ": " + cause);
         StackTraceElement[] trace = cause.getStackTrace();
@@ -60,7 +63,10 @@
         }
     }
 
-    /** Text from outside made safe for one line: printable ASCII, cut off where it is long. */
+    /**
+     * Makes untrusted text safe for a log line: replaces all characters except printable ASCII, and truncates long
+     * text.
+     */
     public static String clean(String text) {
         return text.substring(0, Math.min(MAX_CLEAN_LENGTH, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
     }
--- a/daemon/src/main/java/portrelay/net/eventloop/Mailbox.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/Mailbox.java
@@ -4,8 +4,9 @@
 import java.util.Queue;
 
 /**
- * An actor's messages, run one by one on the event loop and never inside the call that posts them: an actor is not
- * entered while it runs. Any thread may post; what one thread posts runs in its order.
+ * The queue of an actor's messages. They run one at a time on the event loop and never inside the call that posts them,
+ * so an actor is never re-entered while it handles a message. Any thread may post; the messages of one thread run in
+ * the order in which it posted them.
  */
 public final class Mailbox {
 
@@ -16,14 +17,16 @@
     private Queue<Runnable> posted = new ArrayDeque<>();
     /** Guarded by the lock. */
     private boolean isScheduled;
-    /** Empty but while its messages are run; on the loop only. */
+    /** Empty except while its messages are run; used on the loop only. */
     private Queue<Runnable> running = new ArrayDeque<>();
 
+    /** Creates an empty mailbox whose messages run on the loop; a message that fails is logged. */
     public Mailbox(EventLoop loop, Log log) {
         this.loop = loop;
         this.log = log;
     }
 
+    /** Queues a message to run on the event loop. */
     public void post(Runnable message) {
         synchronized (lock) {
             posted.add(message);
@@ -35,14 +38,17 @@
         loop.execute(this::runAll);
     }
 
-    /** What these messages post runs with the next task: other actors and the kernel have their turn between. */
+    /**
+     * Runs the messages that are queued now. Messages that they post run in a later task, so that other actors and I/O
+     * events are handled in between.
+     */
     private void runAll() {
         takePosted();
         while (!running.isEmpty()) {
             try {
                 running.remove().run();
             } catch (RuntimeException e) {
-                // One failing message must not take the others with it.
+                // A failing message must not keep the others from running.
                 log.fault("message failed", e);
             }
         }
--- a/daemon/src/main/java/portrelay/net/eventloop/MonotonicClock.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/MonotonicClock.java
@@ -1,9 +1,9 @@
 package portrelay.net.eventloop;
 
 /**
- * Unix time in seconds as it stood at the start, counted on by the monotonic clock. Read from the system's clock once:
- * a system clock that is set later must not move deadlines, and the start time of an upstream must always map to the
- * same value, else it reads as a restart. Thread-safe.
+ * A clock in Unix seconds that reads the system's clock once, when it is created, and advances with the monotonic
+ * clock. A later change of the system's clock must not move deadlines, and the start time of an upstream must always
+ * map to the same value, as another value would look like a restart. Thread-safe.
  */
 public final class MonotonicClock {
 
@@ -14,12 +14,16 @@
         return at(System.nanoTime());
     }
 
-    /** @param nanos by {@link System#nanoTime} */
+    /**
+     * Returns a point in time in seconds on this clock.
+     *
+     * @param nanos a value of {@link System#nanoTime}
+     */
     double at(long nanos) {
         return startSeconds + (nanos - startNanos) / 1e9;
     }
 
-    /** Unix milliseconds as seconds of Unix time, as this clock counts; 0, which means long ago, stays 0. */
+    /** Converts Unix milliseconds to Unix seconds, the unit of this clock. 0, which stands for long ago, stays 0. */
     public static double fromUnixMillis(double millis) {
         return millis / 1e3;
     }
--- a/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
@@ -22,14 +22,18 @@
 import portrelay.settings.InvalidSettingException;
 
 /**
- * The files of one sidecar's processes. Each process has a number, higher than those before it, and by that number a
- * lock file, locked for as long as the process lives, and a state file, replaced as a whole. Nothing of another
- * process's files is trusted: what is torn, foreign or of another form is logged once and ignored. Used on the handover
- * thread; opened on the thread that starts the sidecar.
+ * The handover files of one sidecar's processes. Each process has a number that is higher than those of earlier
+ * processes, and two files that are named after the number: a lock file, locked for as long as the process lives, and a
+ * state file, replaced as a whole. The files of other processes are not trusted: a state file that is incomplete,
+ * belongs to another sidecar or has another form is logged once and ignored. Used on the handover thread; opened on the
+ * thread that starts the sidecar.
  */
 final class HandoverDirectory {
 
-    /** Of a state file: the longest list of discovery, 4 MiB as it comes and more as it is written, and the rest. */
+    /**
+     * Longest state file that is read. It holds the longest endpoint list, which is 4 MiB as discovery sends it and
+     * longer as it is written here, and the rest of the state.
+     */
     private static final long MAX_STATE_BYTES = 16 * 1024 * 1024;
 
     private final Path directory;
@@ -44,9 +48,9 @@
     private final Set<Long> logged = new HashSet<>();
 
     /**
-     * Takes the next number and its lock.
+     * Takes the next number and locks its lock file.
      *
-     * @throws IOException where the directory is missing or not writable, or another process takes the number too
+     * @throws IOException if the directory is missing or not writable, or if another process takes the same number
      */
     HandoverDirectory(Path directory, String sidecarName, Log log) throws IOException {
         this.directory = directory;
@@ -69,7 +73,7 @@
         return ownNumber;
     }
 
-    /** Of all processes that have a lock file, this one among them. */
+    /** Returns the numbers of all processes that have a lock file, including this one. */
     Set<Long> numbers() throws IOException {
         Set<Long> numbers = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, prefix + "*.lock")) {
@@ -83,20 +87,20 @@
         return numbers;
     }
 
-    /** Whether the process holds its lock: the system releases it however the process ends. */
+    /** Whether the process holds its lock. The operating system releases the lock however the process ends. */
     boolean isAlive(long number) {
         try (FileChannel channel = FileChannel.open(lockFile(number), StandardOpenOption.WRITE);
                 FileLock taken = channel.tryLock()) {
             return taken == null;
         } catch (OverlappingFileLockException e) {
-            // Held by this JVM: two sidecars of one program.
+            // This JVM holds the lock: one program runs two sidecars.
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Seconds since the lock file was made, by the system's clock; 0 where there is none. */
+    /** Returns the seconds since the lock file was created, by the system's clock; 0 if there is no such file. */
     double ageSeconds(long number) throws IOException {
         Path file = lockFile(number);
         return Files.exists(file)
@@ -104,7 +108,7 @@
                 : 0;
     }
 
-    /** Null where there is none, or none that is valid. Parses a file again only once it has changed. */
+    /** Returns the state of a process; null if there is no valid one. Parses the file only if it has changed. */
     HandoverState read(long number) {
         Path file = stateFile(number);
         try {
@@ -130,7 +134,7 @@
         return statesRead.get(number);
     }
 
-    /** Replaces this process's state atomically: who reads meanwhile finds the previous one. */
+    /** Replaces this process's state file atomically: a concurrent reader sees the previous state. */
     void write(HandoverState state) {
         Path temporary = file(ownNumber, "tmp");
         try {
@@ -145,7 +149,7 @@
         }
     }
 
-    /** Deletes what a process that has ended left. */
+    /** Deletes the files of a process that has ended. */
     void delete(long number) throws IOException {
         Files.deleteIfExists(file(number, "tmp"));
         Files.deleteIfExists(stateFile(number));
@@ -162,7 +166,10 @@
         }
     }
 
-    /** The file key tells apart two files of one length, written within one tick of the file system's clock. */
+    /**
+     * Returns a text that changes whenever the file is replaced. The file key distinguishes two files of the same
+     * length that were written within one tick of the file system's clock.
+     */
     private static String version(Path file) throws IOException {
         BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
         return attributes.lastModifiedTime() + " " + attributes.size() + " " + attributes.fileKey();
--- a/daemon/src/main/java/portrelay/net/handover/HandoverService.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverService.java
@@ -16,41 +16,46 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Hands over to, and takes over from, the other processes of one sidecar, by files in a directory that all see. Owns
- * the state of this process and one thread of its own, {@code portrelay-handover}, that alone reads and writes the
- * files.
+ * Exchanges state with the other processes of one sidecar through files in a directory that they share. Owns the state
+ * of this process and a thread, {@code portrelay-handover}, that is the only one to read and write the files after
+ * {@link #open}.
  *
- * <p>Threads: {@link #open} and the getters of what it found run on the thread that starts the sidecar, before
- * {@link #start}. All other methods may be called from any thread; but for {@link #close} they return at once and run
- * on the handover thread. Callbacks run on the event loop.
+ * <p>Threads: {@link #open} and the getters of the state that it found are called on the thread that starts the
+ * sidecar, before {@link #start}. All other methods may be called from any thread; except for {@link #close} they
+ * return at once and do their work on the handover thread. Callbacks run on the event loop.
  */
 public final class HandoverService implements AutoCloseable {
 
     /** How often a process without a sibling looks for one. */
     private static final double POLL_INTERVAL_ALONE_SECONDS = 0.25;
-    /** How often a sibling's file is read: operators' calls made there are to be in force here within 0.2 s. */
+    /** How often a sibling's file is read: operator calls made there have to take effect here within 0.2 s. */
     private static final double POLL_INTERVAL_WITH_SIBLING_SECONDS = 0.1;
 
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
-    /** Called on the event loop with what other processes were told, and with their start and end. */
+    /**
+     * Receives operator calls made at other processes, and the start and end of those processes. Runs on the event
+     * loop.
+     */
     public interface Listener {
 
         /** Operators disabled the upstream at another process, or enabled it again. */
         void disabledChanged(UpstreamId id, boolean isDisabled);
 
-        /** Operators took the sidecar out of service at another process, or back. */
+        /** Operators took the sidecar out of service, or back into service, at another process. */
         void inServiceChanged(boolean isInService);
 
+        /** The sibling process started, began to serve, or ended. */
         void siblingChanged(Sibling sibling);
     }
 
-    /** The other process of this sidecar that is alive; of several, one that serves. */
+    /** State of the other process of this sidecar that is alive; of several, that of one that serves. */
     public enum Sibling {
+        /** No other process is alive. */
         NONE,
         /** A later process that does not serve yet. */
         STARTING,
-        /** A process that serves, or an earlier one, which is taken for one that serves until it has ended. */
+        /** A process that serves, or an earlier one, which is assumed to serve until it has ended. */
         SERVING
     }
 
@@ -78,16 +83,16 @@
             return daemon;
         });
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        // Written before the first scan: to others a process with a lock and no state is a stranger.
+        // Written before the first scan: other processes ignore one that has a lock but no state.
         writeIfChanged();
         scanSiblings();
     }
 
     /**
-     * Takes a number and a lock in the directory, and reads what other processes left there.
+     * Takes a number and a lock in the directory, and reads the state files of other processes.
      *
-     * @param directory null to hand over to none
-     * @return null without a directory, or, with a line in the log, where it is missing or can't be written to
+     * @param directory null to disable handover
+     * @return null if the directory is null, or if it is missing or not writable, which is logged
      */
     public static HandoverService open(EventLoop loop, Log log, Path directory, HandoverState.Owner owner) {
         if (directory == null) {
@@ -101,22 +106,24 @@
         }
     }
 
-    // ---- As found by open -------------------------------------------------------------------------------
+    // ---- State found by open ----------------------------------------------------------------------------
 
+    /** Returns the last operator call for each upstream. */
     public Map<UpstreamId, HandoverState.OperatorCall> operatorCalls() {
         return Map.copyOf(state.calls.latest());
     }
 
+    /** Whether operators took the sidecar out of service. */
     public boolean isOutOfService() {
         return state.service.isOut();
     }
 
-    /** Ids that discovery ever listed, the latest last. */
+    /** Returns the ids that discovery ever listed, the latest last. */
     public Set<UpstreamId> everListed() {
         return new LinkedHashSet<>(state.everListed);
     }
 
-    /** The endpoint list of a process that is alive, in discovery's form; null where there is none. */
+    /** Returns the endpoint list of a process that is alive, in discovery's format; null if there is none. */
     public JsonFields endpointList() {
         try {
             return state.endpointList == null ? null : JsonFields.of(state.endpointList, "list");
@@ -125,13 +132,14 @@
         }
     }
 
+    /** Returns the state of the sibling process. */
     public Sibling sibling() {
         return sibling;
     }
 
-    // ---- What this process tells the others -------------------------------------------------------------
+    // ---- Announcements to other processes ---------------------------------------------------------------
 
-    /** From here on the listener is called, and other processes' files are polled. */
+    /** Starts to poll the files of other processes and to call the listener. */
     public void start(Listener listener) {
         execute(() -> {
             this.listener = listener;
@@ -140,9 +148,9 @@
     }
 
     /**
-     * This process serves at that address.
+     * Announces that this process serves at the given address.
      *
-     * @param onWritten called on the event loop once other processes can read so
+     * @param onWritten called on the event loop once other processes can read the announcement
      */
     public void announceServing(String listen, Runnable onWritten) {
         execute(() -> {
@@ -153,7 +161,11 @@
         });
     }
 
-    /** Operators called for the upstream at this process. */
+    /**
+     * Records an operator call for an upstream that this process received.
+     *
+     * @param at when the call came, on the event loop's clock
+     */
     public void recordDisabled(UpstreamId id, boolean isDisabled, double at) {
         execute(() -> {
             state.calls.merge(id, new HandoverState.OperatorCall(isDisabled, at));
@@ -161,7 +173,11 @@
         });
     }
 
-    /** Operators took the sidecar out of service at this process, or back. */
+    /**
+     * Records an operator call that took the sidecar out of service, or back into service, at this process.
+     *
+     * @param at when the call came, on the event loop's clock
+     */
     public void recordOutOfService(boolean isOut, double at) {
         execute(() -> {
             state.service = new HandoverState.OperatorCall(isOut, at);
@@ -169,7 +185,9 @@
         });
     }
 
-    /** Written with the next poll. The caller changes neither object any longer. */
+    /**
+     * Records the endpoint list, to be written with the next poll. The caller must not change either object afterwards.
+     */
     public void recordEndpointList(Set<UpstreamId> everListed, Object endpointList) {
         execute(() -> {
             state.everListed = everListed;
@@ -179,9 +197,10 @@
     }
 
     /**
-     * This process shuts down: from here on no other one leaves its clients to it.
+     * Announces that this process shuts down, so that no other process hands its clients over to this one.
      *
-     * @param onSuccessorKnown called on the event loop with whether a later process serves that does not shut down too
+     * @param onSuccessorKnown called on the event loop with whether a later process serves and is not shutting down
+     *     itself
      */
     public void announceEnd(Consumer<Boolean> onSuccessorKnown) {
         execute(() -> {
@@ -193,7 +212,7 @@
         });
     }
 
-    /** Writes the last state and releases the lock; blocks until that is done, for a limited time. */
+    /** Writes the last state and releases the lock. Blocks until that is done, for a limited time. */
     @Override
     public void close() {
         execute(() -> {
@@ -230,7 +249,7 @@
         }
     }
 
-    // What goes wrong is logged by runLogged: the future has nothing more to tell.
+    // The result of the future is not needed: runLogged logs failures.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void poll() {
         scanSiblings();
@@ -253,7 +272,7 @@
         }
     }
 
-    /** Takes over what another process knows and this one does not. */
+    /** Takes over the part of another process's state that is newer than this one's. */
     private void merge(HandoverState other, boolean isAlive) {
         other.calls.latest().forEach((id, call) -> {
             HandoverState.OperatorCall before = state.calls.get(id);
@@ -268,7 +287,7 @@
             notifyListener(() -> listener.inServiceChanged(!other.service.isOut()));
         }
         if (listener == null) {
-            // Once started, this process has a list of its own.
+            // Once started, this process has its own list.
             state.everListed.addAll(other.everListed);
             state.endpointList = isAlive && other.endpointList != null ? other.endpointList : state.endpointList;
         }
--- a/daemon/src/main/java/portrelay/net/handover/HandoverState.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverState.java
@@ -6,31 +6,34 @@
 import portrelay.model.UpstreamId;
 
 /**
- * What one process of a sidecar knows that its successor has to know. Of all calls for one thing the latest counts;
- * times are Unix seconds. Used on the handover thread; before that, by the thread that starts the sidecar.
+ * The state that one process of a sidecar hands over to its successor. Of several operator calls for the same upstream,
+ * or for the sidecar, the latest one applies. Times are Unix seconds. Used on the handover thread, and before that
+ * thread starts by the thread that starts the sidecar.
  */
 public final class HandoverState {
 
     /**
-     * A call of operators.
+     * A call by an operator.
      *
-     * @param isOut whether it took the upstream, or the sidecar, out of service
-     * @param at when it came
+     * @param isOut whether the call took the upstream, or the sidecar, out of service
+     * @param at when the call came
      */
     public record OperatorCall(boolean isOut, double at) {}
 
     /**
-     * Whose state it is.
+     * The process that a state belongs to.
      *
-     * @param listen the address that the processes of one sidecar share, as text; empty while it is open, null where an
-     *     older version wrote the file, which does not say
-     * @param requestClasses the names of those that the sidecar is configured with
+     * @param name name of the sidecar
+     * @param listen the address that the processes of one sidecar share, as text; empty while it is not known yet, null
+     *     if an older version, which does not store it, wrote the file
+     * @param requestClasses names of the request classes that the sidecar is configured with
      */
     public record Owner(String name, String listen, Set<String> requestClasses) {
 
         /**
-         * Whether the other is a process of the same sidecar of the same deployment. An upgrade may change some request
-         * classes, but not all of them; two deployments may have the name and the directory in common.
+         * Whether the other is a process of the same sidecar of the same deployment. Two deployments may share name and
+         * directory, so the listen address and the request classes are compared too. An upgrade may change some request
+         * classes, but not all of them.
          */
         boolean isSame(Owner other) {
             if (!name.equals(other.name)) {
@@ -48,15 +51,17 @@
     Owner owner;
     /** Whether the process listens and has ended its warm-up. */
     boolean isServing;
-    /** Whether the process shuts down: another that shuts down must not leave its clients to it. */
+    /**
+     * Whether the process is shutting down: another process that shuts down must not hand its clients over to this one.
+     */
     boolean isEnding;
-    /** The last call that took the sidecar out of service or back; its time is 0 where there was none. */
+    /** The last call that took the sidecar out of service or back into service; its time is 0 if there was none. */
     OperatorCall service = new OperatorCall(false, 0);
 
     final OperatorCalls calls = new OperatorCalls();
-    /** Ids that were ever listed, the latest last. */
+    /** Ids that discovery ever listed, the latest last. */
     Set<UpstreamId> everListed = new LinkedHashSet<>();
-    /** The endpoint list in discovery's form; null where there is none yet. */
+    /** The endpoint list in discovery's format; null if there is none yet. */
     Object endpointList;
 
     HandoverState(Owner owner) {
--- a/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
@@ -11,8 +11,8 @@
 import portrelay.settings.JsonFields;
 
 /**
- * The stored form of {@link HandoverState}, as JSON. Processes of other versions read it: the names, their order and
- * the form's number stay as they are. Ids of upstreams are unsigned hexadecimal.
+ * Converts {@link HandoverState} to and from its stored JSON form. Processes of other versions read that form, so the
+ * names, their order and the form's number must not change. Upstream ids are written as unsigned hexadecimal numbers.
  */
 final class HandoverStateCodec {
 
@@ -49,9 +49,9 @@
     }
 
     /**
-     * The state of a process of the sidecar of that name.
+     * Decodes the state of a process of the sidecar with the given name.
      *
-     * @throws InvalidSettingException names the field that {@link #encode} would not have made so
+     * @throws InvalidSettingException if the tree is not in the form that {@link #encode} creates; names the field
      */
     static HandoverState decode(Object tree, String sidecarName) throws InvalidSettingException {
         JsonFields root = JsonFields.of(tree, "");
@@ -77,7 +77,7 @@
             state.everListed.add(upstreamId(root, "ever", id));
         }
         if (root.has("list")) {
-            // Read for its errors alone: what is not a list must not be taken over as one.
+            // Parsed only to validate it: an invalid list must not be taken over.
             EndpointListPage.read(root.section("list"));
             state.endpointList = ((Map<?, ?>) tree).get("list");
         }
--- a/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
+++ b/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
@@ -6,8 +6,9 @@
 import portrelay.model.UpstreamId;
 
 /**
- * The last call of operators for each upstream, from whichever process it came to. Where there are too many, the oldest
- * that enabled an upstream again is forgotten; a call that disables one never is. Used on the handover thread.
+ * The last operator call for each upstream, from any process of the sidecar. Above the maximum number of calls, the
+ * oldest call that enabled an upstream is dropped; calls that disable an upstream are never dropped. Used on the
+ * handover thread.
  */
 final class OperatorCalls {
 
@@ -15,7 +16,7 @@
 
     private final Map<UpstreamId, HandoverState.OperatorCall> latest = new LinkedHashMap<>();
 
-    /** In the order in which the upstreams were first called for. */
+    /** Returns the last call for each upstream, in the order of the first calls for each. */
     Map<UpstreamId, HandoverState.OperatorCall> latest() {
         return latest;
     }
@@ -24,12 +25,16 @@
         return latest.get(id);
     }
 
-    /** As it was stored, whatever is known by now. */
+    /** Sets a call that was read from a stored state, without comparing it with a known one. */
     void restore(UpstreamId id, HandoverState.OperatorCall call) {
         latest.put(id, call);
     }
 
-    /** Keeps the call unless a later one is known; returns whether it changes whether the upstream is disabled. */
+    /**
+     * Records the call unless one of the same time or later is known.
+     *
+     * @return whether the call changes if the upstream is disabled
+     */
     boolean merge(UpstreamId id, HandoverState.OperatorCall call) {
         HandoverState.OperatorCall known = latest.get(id);
         if (known != null && known.at() >= call.at()) {
--- a/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
+++ b/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
@@ -6,12 +6,12 @@
 import portrelay.net.handover.HandoverService.Sibling;
 
 /**
- * Finds the other processes of this sidecar in the directory, and deletes what ended ones left. Used on the handover
- * thread.
+ * Finds the other processes of this sidecar in the handover directory, and deletes the files of those that have ended.
+ * Used on the handover thread.
  */
 final class SiblingScan {
 
-    /** Guards a process that has made its lock file and not locked it yet: a file younger than this is not deleted. */
+    /** A younger lock file is not deleted: its process may have created it and not locked it yet. */
     private static final double MIN_DELETE_AGE_SECONDS = 5;
 
     private final HandoverDirectory directory;
@@ -24,7 +24,11 @@
         this.log = log;
     }
 
-    /** @param onState called with each state of another process of the owner, and whether that process is alive */
+    /**
+     * Scans the directory once.
+     *
+     * @param onState called with the state of each other process of the owner, and with whether that process is alive
+     */
     void run(HandoverState.Owner owner, BiConsumer<HandoverState, Boolean> onState) {
         sibling = Sibling.NONE;
         hasSuccessor = false;
@@ -39,7 +43,7 @@
         }
     }
 
-    /** As the last run found it. */
+    /** Returns the state of the sibling process as the last run found it. */
     Sibling sibling() {
         return sibling;
     }
@@ -55,7 +59,7 @@
         boolean isAlive = directory.isAlive(number);
         HandoverState state = directory.read(number);
         if (state != null && !owner.isSame(state.owner)) {
-            // Another sidecar's, or one of this sidecar's that does not say yet where it listens.
+            // The state of another sidecar, or of a process of this sidecar that has not stored its listen address yet.
             return;
         }
         if (state != null) {
--- a/daemon/src/main/java/portrelay/net/lifecycle/InProcessOpener.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/InProcessOpener.java
@@ -13,7 +13,7 @@
 import portrelay.net.connection.Connector;
 import portrelay.net.eventloop.EventLoop;
 
-/** Connects to a server of this process over a pipe, so that no socket is needed. Runs on the event loop. */
+/** Connects to a server in this process over a pipe instead of a socket. Runs on the event loop. */
 final class InProcessOpener implements Connector.Opener {
 
     private final EventLoop loop;
--- a/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
@@ -13,18 +13,18 @@
 import portrelay.shutdown.ShutdownBudget;
 
 /**
- * Carries out the graceful shutdown that {@link Shutdown} decides. Runs on the event loop but where said, and logs each
- * step with what is still open then.
+ * Carries out the graceful shutdown that {@link Shutdown} decides, and logs each step with the number of clients and
+ * requests that are still open. Runs on the event loop except where a method says otherwise.
  */
 final class ShutdownActor implements ShutdownActions {
 
-    /** How often it looks for connections to close, and for the last client's end. */
+    /** How often this class looks for connections to close and checks whether the last client has gone. */
     private static final double POLL_INTERVAL_SECONDS = 0.01;
-    /** While a successor serves, a connection is closed once it has been idle for so long. */
+    /** Idle time after which a connection is closed while a successor serves. */
     private static final double IDLE_BEFORE_CLOSE_SECONDS = 0.2;
-    /** Without word of a successor by then, health checks are answered with not ready. */
+    /** Time after which health checks are answered with not ready unless a successor is known by then. */
     private static final double SUCCESSOR_TIMEOUT_SECONDS = 0.3;
-    /** The process waits so long behind its time for clients that are still connected; SIGKILL may come first. */
+    /** How long the process waits past its end time for clients that are still connected; SIGKILL may come first. */
     private static final double MAX_OVERTIME_SECONDS = 0.5;
 
     private final EventLoop loop;
@@ -34,13 +34,13 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private ClientFrontend frontend;
     private LoadBalancerActor loadBalancer;
-    /** Null where operators have no endpoint. */
+    /** Null without an admin endpoint. */
     private AdminEndpoint admin;
 
     private WarmUp warmUp;
     private double signalledAt;
 
-    /** @param maxDeadlineSeconds of all request classes */
+    /** @param maxDeadlineSeconds the longest deadline of all request classes */
     ShutdownActor(EventLoop loop, Log log, double maxDeadlineSeconds) {
         this.loop = loop;
         this.log = log;
@@ -52,7 +52,7 @@
         return shutdown;
     }
 
-    /** @param admin null where operators have no endpoint */
+    /** @param admin null without an admin endpoint */
     void start(ClientFrontend frontend, LoadBalancerActor loadBalancer, AdminEndpoint admin, WarmUp warmUp) {
         this.frontend = frontend;
         this.loadBalancer = loadBalancer;
@@ -60,21 +60,30 @@
         this.warmUp = warmUp;
     }
 
-    /** From any thread, returns at once. The signal arrived at that time of the loop's clock. */
+    /**
+     * Begins the shutdown. May be called from any thread; returns at once.
+     *
+     * @param signalledAt when the signal arrived, on the loop's clock
+     */
     void signalled(double signalledAt) {
         loop.execute(() -> begin(signalledAt));
     }
 
-    /** From any thread but the loop's: blocks until the process may end, at most until its time is over. */
+    /** Blocks until the process may end, at most until its end time. May be called from any thread but the loop's. */
     void awaitEnd(double signalledAt) throws InterruptedException {
-        // The latest possible end: the budget itself counts from when the signal may have been sent at the earliest.
+        // The latest possible end. The shutdown itself may end earlier, as its budget counts from the earliest time
+        // at which the signal may have been sent.
         double endBy =
                 ShutdownBudget.of(signalledAt, signalledAt, maxDeadlineSeconds).endBy();
         double leftSeconds = endBy + MAX_OVERTIME_SECONDS - loop.now();
         ended.await(Math.max(0, (long) (leftSeconds * 1e3)), TimeUnit.MILLISECONDS);
     }
 
-    /** Whether a successor serves at this address. */
+    /**
+     * Called once it is known whether a successor exists.
+     *
+     * @param serves whether a successor serves at this address
+     */
     void successorKnown(boolean serves) {
         if (serves) {
             shutdown.successorStarted();
@@ -103,7 +112,7 @@
             admin.setReady(false);
         }
         frontend.keepConnections();
-        // The loop's time belongs to the clients that are connected.
+        // Leaves the event loop to the connected clients.
         warmUp.end();
         loop.schedule(SUCCESSOR_TIMEOUT_SECONDS, () -> {
             if (!shutdown.closesConnections()) {
@@ -120,7 +129,7 @@
 
     @Override
     public void handOver() {
-        // From here on poll closes the connections that are idle.
+        // No action here: poll closes idle connections from now on.
         logStep("handing over to successor");
     }
 
@@ -142,8 +151,9 @@
     }
 
     /**
-     * What lies unread as the time is over, as after the process was stopped, still gets its answer: an exit would lose
-     * it as surely as SIGKILL.
+     * Ends once no client is connected, at the given time at the latest. Requests that are still unread at the end
+     * time, for example because the process was stopped (SIGSTOP), are answered first: exiting would lose them just as
+     * SIGKILL does.
      */
     private void exitOnceAnswered(double atLatest) {
         if (frontend.clientCount() == 0 || loop.now() >= atLatest) {
@@ -170,16 +180,17 @@
         if (!frontend.isListening()) {
             shutdown.listenerNeverStarted();
         }
-        // Counts the lag up to now, as the signal may have been sent during it.
+        // Measures the lag up to now, as the signal may have been sent while the loop was late.
         loop.lag().beat(loop.now());
         shutdown.signalReceived(loop.now(), loop.lag().earliestSignal(signalledAt), signalledAt);
         poll(loop.now());
     }
 
     /**
-     * Until the end: closes idle connections, answers what is due, and ends with the last client.
+     * Closes idle connections, fails open requests in the closing phase, and reports when no client is connected.
+     * Repeats itself until the shutdown has ended.
      *
-     * @param dueAt when it was to be called
+     * @param dueAt the time this call was scheduled for
      */
     private void poll(double dueAt) {
         observeLag(loop.now() - dueAt);
@@ -208,7 +219,7 @@
         }
     }
 
-    /** Never early: the timer may run some milliseconds before the loop's clock reaches the time. */
+    /** Waits again where the timer ran some milliseconds before the loop's clock reaches the time. */
     private void wakeUp(double time) {
         if (loop.now() < time) {
             wakeUpAt(time);
--- a/daemon/src/main/java/portrelay/net/lifecycle/SiblingListener.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SiblingListener.java
@@ -3,7 +3,10 @@
 import portrelay.model.UpstreamId;
 import portrelay.net.handover.HandoverService;
 
-/** Applies what a sibling process of this sidecar was told, and its start and end. Runs on the event loop. */
+/**
+ * Applies operator calls that a sibling process of this sidecar received, and reacts to the sibling's start and end.
+ * Runs on the event loop.
+ */
 final class SiblingListener implements HandoverService.Listener {
 
     private final SidecarComponents components;
--- a/daemon/src/main/java/portrelay/net/lifecycle/Sidecar.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/Sidecar.java
@@ -17,16 +17,16 @@
 import portrelay.settings.JsonFields;
 
 /**
- * One sidecar: its decisions, its sockets and the one event loop thread that runs them all. The methods here may be
- * called from any thread but that one.
+ * One sidecar: its load balancing, its sockets and the event loop thread that runs both. The methods of this class may
+ * be called from any thread except the event loop's.
  */
 public final class Sidecar implements AutoCloseable {
 
-    /** The thread that everything runs on; for tests. */
+    /** The event loop that the whole sidecar runs on; for tests. */
     public final EventLoop loop;
-    /** Opens the connections to upstreams; for tests, on the loop. */
+    /** Opens the connections to upstreams; for tests, to be used on the loop. */
     public final Connector upstreamConnector;
-    /** Owns the open requests; for tests, on the loop. */
+    /** Owns the open requests; for tests, to be used on the loop. */
     public final LoadBalancerActor loadBalancer;
 
     private final SidecarConfig config;
@@ -51,34 +51,35 @@
             }
             runOnLoop(() -> startActors(warmUp));
             if (!besideServingSibling) {
-                // Only now: a request that is read before the actors run, or a signal can reach them, may wait too
-                // long.
+                // Listens only now: a request that is read before the actors run, or before a signal can reach them,
+                // may wait too long.
                 startup.listen();
             }
         } catch (IOException e) {
-            // Else the JVM keeps the handover lock, and the next process takes this one for one that serves.
+            // Otherwise the JVM keeps the handover lock, and the next process assumes that this one serves.
             close();
             throw e;
         }
     }
 
     /**
-     * Starts a sidecar that hands over to no other process.
+     * Starts a sidecar without handover to other processes. Returns once the sidecar is ready, or once its shutdown has
+     * begun if that comes first.
      *
-     * @param logTo one line per event
-     * @return once it is ready, or has been told to shut down before it was
-     * @throws IOException where an address can't be listened at
-     * @throws InvalidSettingException names the field of the configuration
+     * @param logTo receives one line per event
+     * @throws IOException if the sidecar can't listen at an address
+     * @throws InvalidSettingException if the configuration is invalid; names the field
      */
     public static Sidecar start(SidecarConfig config, PrintStream logTo) throws IOException, InvalidSettingException {
         return start(config, logTo, null);
     }
 
     /**
-     * As {@link #start(SidecarConfig, PrintStream)}; hands over to, and takes over from, other processes of this
-     * sidecar.
+     * Starts a sidecar as {@link #start(SidecarConfig, PrintStream)} does, with handover from and to other processes of
+     * this sidecar.
      *
-     * @param handoverDirectory for these processes' files alone; null to hand over to none
+     * @param handoverDirectory holds the handover files of this sidecar's processes and nothing else; null to disable
+     *     handover
      */
     public static Sidecar start(SidecarConfig config, PrintStream logTo, Path handoverDirectory)
             throws IOException, InvalidSettingException {
@@ -88,8 +89,9 @@
     }
 
     /**
-     * As {@link #start(SidecarConfig, PrintStream, Path)}, but returns before the warm-up has ended: unless a sibling
-     * process serves, it listens and serves by then. The caller calls {@link #awaitReady} too.
+     * Starts a sidecar as {@link #start(SidecarConfig, PrintStream, Path)} does, but returns before the warm-up has
+     * ended. The sidecar listens and serves when this method returns, unless a sibling process serves. The caller has
+     * to call {@link #awaitReady} as well.
      */
     public static Sidecar open(SidecarConfig config, PrintStream logTo, Path handoverDirectory)
             throws IOException, InvalidSettingException {
@@ -97,9 +99,9 @@
     }
 
     /**
-     * As {@link #open(SidecarConfig, PrintStream, Path)}, with a warm-up of another length.
+     * Starts a sidecar as {@link #open(SidecarConfig, PrintStream, Path)} does, with a warm-up of the given length.
      *
-     * @param warmUpLength null for the usual one
+     * @param warmUpLength null for the default length
      */
     public static Sidecar open(
             SidecarConfig config, PrintStream logTo, Path handoverDirectory, WarmUp.Length warmUpLength)
@@ -107,7 +109,7 @@
         return new Sidecar(config, logTo, handoverDirectory, warmUpLength);
     }
 
-    /** Runs the warm-up alone, on no socket, and returns whether the configuration served any of its requests. */
+    /** Runs only the warm-up, without sockets, and returns whether any of its requests was served. */
     public static boolean check(SidecarConfig config) throws IOException {
         XnioWorker worker = SidecarComponents.createWorker();
         EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
@@ -120,9 +122,9 @@
     }
 
     /**
-     * Returns once the sidecar is ready, or has been told to shut down before it was.
+     * Blocks until the sidecar is ready, or until its shutdown has begun if that comes first.
      *
-     * @throws IOException where it could not listen; it is closed then
+     * @throws IOException if the sidecar could not listen; it is closed then
      */
     public void awaitReady() throws IOException {
         try {
@@ -133,34 +135,34 @@
         }
     }
 
-    /** Where it listens, with the port that the system chose where the configuration says 0. */
+    /** Returns the address that clients connect to, with the port that the system chose for a configured port of 0. */
     public InetSocketAddress address() {
         return components.frontend.address();
     }
 
-    /** Where operators call; null where they have no endpoint. */
+    /** Returns the address of the admin endpoint; null without one. */
     public InetSocketAddress adminAddress() {
         return components.admin == null ? null : components.admin.address();
     }
 
     /**
-     * Takes over from a configuration what may change while the sidecar runs: the address of discovery. The rest of it
-     * is ignored.
+     * Applies the part of a configuration that may change while the sidecar runs: the address of discovery. All other
+     * fields are ignored.
      */
     public void reload(SidecarConfig config) {
         components.discovery.setAddress(config.discovery());
     }
 
-    /** As {@link #drain(long)}, with a signal that arrives now. */
+    /** Shuts down as {@link #drain(long)} does, with a signal that arrives now. */
     public void drain() {
         drain(System.nanoTime());
     }
 
     /**
-     * Shuts down gracefully and returns when clients have gone or the time is over
-     * ({@link portrelay.shutdown.ShutdownBudget}). Without a successor it goes on listening for half a second and
-     * serving the open connections, as clients have no other process to go to; a successor that serves gets the address
-     * at once.
+     * Shuts down gracefully and returns when all clients have disconnected or the time is over
+     * ({@link portrelay.shutdown.ShutdownBudget}). Without a successor the sidecar goes on listening for half a second
+     * and serving the open connections, as clients have no other process to connect to. A successor that serves gets
+     * the address at once.
      *
      * @param signalledAtNanos when the signal arrived, by {@link System#nanoTime}
      */
@@ -174,7 +176,7 @@
             components.handover.announceEnd(shutdown::successorKnown);
         }
         if (closed) {
-            // The loop of a closed sidecar runs no tasks: nothing would end the wait before its time.
+            // The loop of a closed sidecar runs no tasks, so the wait below would last until the end time.
             return;
         }
         try {
@@ -184,7 +186,7 @@
         }
     }
 
-    /** Closes at once, without a drain, and releases the handover lock: forwarded requests get no answer. */
+    /** Closes at once, without draining, and releases the handover lock. Forwarded requests get no answer. */
     @Override
     public void close() {
         closed = true;
@@ -210,7 +212,7 @@
         warmUp.run(startup::warmUpEnded);
     }
 
-    /** From the previous process where there was one, else from the configuration. */
+    /** Restores state from the previous process, or from the configuration if there was none. */
     private void restoreState() throws InvalidSettingException {
         JsonFields endpoints = config.cachedEndpoints();
         HandoverService handover = components.handover;
@@ -234,7 +236,7 @@
         void run() throws InvalidSettingException;
     }
 
-    /** Blocks until the task has run. */
+    /** Runs the task on the loop and blocks until it has run. */
     private void runOnLoop(LoopTask task) throws IOException, InvalidSettingException {
         FutureTask<Void> future = new FutureTask<>(() -> {
             task.run();
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
@@ -31,7 +31,7 @@
 import portrelay.settings.Settings;
 
 /**
- * The actors of one sidecar, made and connected on the thread that starts it; none of them runs before {@link Sidecar}
+ * Creates and connects the actors of one sidecar, on the thread that starts it. No actor runs before {@link Sidecar}
  * starts it on the event loop.
  */
 final class SidecarComponents {
@@ -39,34 +39,37 @@
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int MAX_POOLED_BUFFERS = 256;
     private static final int MAX_DISCOVERY_CONNECTIONS = 3;
-    /** Share of the time after which an upstream closes an idle connection; the rest is for requests on their way. */
+    /**
+     * Idle timeout of this side as a share of the upstream's own. The rest is a margin for requests that are in transit
+     * when the upstream closes the connection.
+     */
     private static final double IDLE_TIMEOUT_SHARE = 0.5;
 
-    /** After which an upstream is taken to close an idle connection where the settings do not say. */
+    /** The upstreams' idle timeout that is assumed where the settings do not set one. */
     private static final double DEFAULT_UPSTREAM_IDLE_TIMEOUT_SECONDS = 10;
 
     final Log log;
     final XnioWorker worker;
     final EventLoop loop;
     final ByteBufferPool buffers;
-    /** Null where nothing is handed over. */
+    /** Null where handover is disabled. */
     final HandoverService handover;
 
     final DescriptorBudget descriptors;
     final Connector upstreamConnector;
     final ShutdownActor shutdown;
     final LoadBalancerActor loadBalancer;
-    /** Null where sidecars exchange no messages. */
+    /** Null where sidecars exchange no peer messages. */
     final PeerActor peers;
 
     final DiscoveryActor discovery;
     final AdmissionActor admission;
     final ConnectionCounters connectionCounters = new ConnectionCounters();
     final ClientFrontend frontend;
-    /** Null where operators have no endpoint. */
+    /** Null without an admin endpoint. */
     final AdminEndpoint admin;
 
-    /** @param handoverDirectory null where nothing is handed over */
+    /** @param handoverDirectory null to disable handover */
     SidecarComponents(SidecarConfig config, PrintStream logTo, Path handoverDirectory)
             throws IOException, InvalidSettingException {
         Settings settings = config.settings();
@@ -100,7 +103,7 @@
         admin = config.adminAddress() == null ? null : adminEndpoint();
     }
 
-    /** One event loop thread. The caller ends it with {@code shutdownNow}. */
+    /** Creates a worker with one event loop thread. The caller ends it with {@code shutdownNow}. */
     static XnioWorker createWorker() throws IOException {
         return Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -116,7 +119,7 @@
         return new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
     }
 
-    /** The sibling process as it was found at the start. */
+    /** Returns the state of the sibling process as it was found when handover was opened. */
     HandoverService.Sibling siblingAtStart() {
         return handover == null ? HandoverService.Sibling.NONE : handover.sibling();
     }
@@ -126,14 +129,17 @@
     }
 
     /**
-     * On the loop. Called with each connect to an upstream, so that clients give back at once what upstreams take, and
-     * are lent what upstreams no longer hold.
+     * Adapts the limit of client connections to the number of connections that upstreams hold. Runs on the loop, with each
+     * connect to an upstream, so that clients give descriptors back as soon as upstreams need them, and get those that
+     * upstreams no longer hold.
      */
     void updateClientLimit() {
         frontend.setMaxClients(descriptors.maxClientConnections(upstreamConnector.openCount()));
     }
 
-    /** On the loop: the sibling process started, serves now, or is gone. */
+    /**
+     * Adapts all limits of connections to a sibling process that started, began to serve, or ended. Runs on the loop.
+     */
     void updateLimits(HandoverService.Sibling sibling) {
         descriptors.siblingChanged(sibling);
         upstreamConnector.setMaxConnections(descriptors.maxUpstreamConnections());
@@ -152,7 +158,7 @@
                 .orElse(0);
     }
 
-    /** Infinite where upstreams do not deduplicate by key: only those forget a key. */
+    /** Infinite where upstreams do not deduplicate by key, as only a recorded key can expire. */
     private static double deduplicationWindowSeconds(Settings settings, RequestArrival arrival) {
         RequestClass requestClass = settings.requestClass(arrival.requestClass());
         return requestClass.idempotency() == RequestClass.Idempotency.KEYED
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
@@ -16,14 +16,14 @@
 /**
  * The configuration of one sidecar, read from the JSON that the platform's protocol defines.
  *
- * @param name of this sidecar, in its log and in the names of its handover files
- * @param listen where clients connect; port 0 lets the system choose
- * @param discovery where the discovery service is called
- * @param adminAddress where operators call; null for no such endpoint
- * @param seed of the random numbers of all decisions
- * @param descriptorLimit file descriptors that the process may hold
- * @param cachedEndpoints the endpoint list as it was last known, in discovery's form; null for none
- * @param peers null where sidecars exchange no messages
+ * @param name name of this sidecar, used in its log and in the names of its handover files
+ * @param listen address that clients connect to; port 0 lets the system choose
+ * @param discovery address of the discovery service
+ * @param adminAddress address of the admin endpoint; null for none
+ * @param seed seed of the random numbers of all decisions
+ * @param descriptorLimit number of file descriptors that the process may hold
+ * @param cachedEndpoints last known endpoint list, in discovery's format; null for none
+ * @param peers addresses of the peers; null where sidecars exchange no messages
  */
 public record SidecarConfig(
         String name,
@@ -39,7 +39,7 @@
 
     /** The environment variable with the path of the configuration file. */
     public static final String FILE = WireNames.CONFIG_FILE_VARIABLE;
-    /** The environment variable with the address for operators' calls; it overrides the file. */
+    /** The environment variable with the address of the admin endpoint; it overrides the file. */
     public static final String MGMT = WireNames.ADMIN_ADDRESS_VARIABLE;
 
     private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
@@ -48,7 +48,7 @@
     /**
      * Reads a configuration file.
      *
-     * @throws InvalidSettingException names the first field that is missing or wrong
+     * @throws InvalidSettingException if a field is missing or wrong; names the first such field
      */
     public static SidecarConfig parse(byte[] json) throws InvalidSettingException {
         JsonFields root = JsonFields.of(tree(json), "");
@@ -59,7 +59,7 @@
         JsonFields cachedEndpoints =
                 root.has(WireNames.CACHED_ENDPOINTS) ? root.section(WireNames.CACHED_ENDPOINTS) : null;
         if (cachedEndpoints != null) {
-            // Read for its errors alone: a bad list is refused before the start.
+            // Parsed only to validate it: an invalid list is rejected before the start.
             EndpointListPage.read(cachedEndpoints);
         }
         return new SidecarConfig(
@@ -77,7 +77,11 @@
                 PeerAddresses.read(root));
     }
 
-    /** The same but for admission, from a file of its own: one object with the fields of that section. */
+    /**
+     * Returns a copy with other admission settings.
+     *
+     * @param json one object with the fields of the admission section
+     */
     public SidecarConfig withAdmission(byte[] json) throws InvalidSettingException {
         JsonFields fields = JsonFields.of(tree(json), WireNames.ADMISSION);
         return new SidecarConfig(
@@ -93,7 +97,11 @@
                 peers);
     }
 
-    /** The same but for the address where clients connect, a numeric address and a port. */
+    /**
+     * Returns a copy with another address for clients to connect to.
+     *
+     * @param text a numeric address and a port
+     */
     public SidecarConfig withListen(String text) throws InvalidSettingException {
         InetSocketAddress address = SocketAddresses.parse(text);
         if (address == null) {
@@ -112,7 +120,11 @@
                 peers);
     }
 
-    /** The same but for the address for operators' calls, a numeric address and a port. */
+    /**
+     * Returns a copy with another address of the admin endpoint.
+     *
+     * @param text a numeric address and a port
+     */
     public SidecarConfig withMgmt(String text) throws InvalidSettingException {
         InetSocketAddress address = SocketAddresses.parse(text);
         if (address == null) {
@@ -122,7 +134,7 @@
                 name, listen, discovery, address, seed, descriptorLimit, cachedEndpoints, settings, admission, peers);
     }
 
-    /** Settings that have no effect over sockets: for each its field, and what happens instead. */
+    /** Returns the settings that have no effect over sockets, each with its field and what happens instead. */
     public List<String> ignoredSettings() {
         return settings.unsupportedOverSockets(peers != null);
     }
--- a/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
@@ -7,9 +7,9 @@
 import portrelay.net.http.SocketAddresses;
 
 /**
- * The steps to readiness: listen, warm up, announce to the sibling process, ready. Without a sibling that serves the
- * sidecar listens before its warm-up, as clients have no other process to go to; beside one it listens only once it is
- * warm. Runs on the event loop but where said.
+ * Performs the steps to readiness: listen, warm up, announce to the sibling process, become ready. Without a sibling
+ * that serves, the sidecar listens before its warm-up, as clients have no other process to connect to. While a sibling
+ * serves, the sidecar listens only after its warm-up. Runs on the event loop except where a method says otherwise.
  */
 final class Startup {
 
@@ -22,10 +22,11 @@
         this.components = components;
     }
 
-    /** From any thread. */
+    /** Begins to listen. May be called from any thread. */
     void listen() throws IOException {
         try {
-            // The listener keeps the limit that it is opened with, so that is the one without a sibling.
+            // The listener keeps the limit that it is opened with, so this is the limit that applies without a
+            // sibling.
             components.frontend.listen(components.worker, config.listen(), config.descriptorLimit());
         } catch (IOException e) {
             throw new IOException("listen: " + e.getMessage(), e);
@@ -34,7 +35,7 @@
         components.loop.execute(components::updateClientLimit);
     }
 
-    /** The sibling process is gone, and with it the listener that clients had. */
+    /** Begins to listen if this process does not yet: the sibling process, whose listener clients used, has ended. */
     void siblingGone() {
         if (components.frontend.isListening() || components.isShuttingDown()) {
             return;
@@ -49,7 +50,7 @@
     void warmUpEnded() {
         components.frontend.warmUpStopListening(components.worker);
         if (components.isShuttingDown()) {
-            // A process that shuts down must neither announce that it serves nor begin to listen.
+            // A process that is shutting down must neither announce that it serves nor begin to listen.
             ready.complete(null);
             return;
         }
@@ -70,9 +71,10 @@
     }
 
     /**
-     * From any thread but the loop's: blocks until the sidecar is ready, or has been told to shut down before.
+     * Blocks until the sidecar is ready, or until its warm-up has ended while it is shutting down. May be called from
+     * any thread but the loop's.
      *
-     * @throws IOException where it could not listen
+     * @throws IOException if the sidecar could not listen
      */
     void awaitReady() throws IOException {
         try {
--- a/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
@@ -2,10 +2,10 @@
 
 import java.util.Locale;
 
-/** Logs counters at an interval, each line only where there is something to tell. Runs on the event loop. */
+/** Logs counters at an interval; a line without news is left out. Runs on the event loop. */
 final class StatusLog {
 
-    /** A smaller lag of the event loop is not logged. */
+    /** Event loop lag up to this is not logged. */
     private static final double MIN_LOGGED_LAG_SECONDS = 0.1;
 
     private final SidecarComponents components;
@@ -16,9 +16,9 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    /** Logs now and then at each interval for as long as the loop runs. */
+    /** Logs once at once, then repeats at the interval for as long as the loop runs. */
     void start() {
-        // In a shutdown the lag goes into the line of each of its steps.
+        // During a shutdown the lag is logged with each of its steps.
         double lag = components.isShuttingDown() ? 0 : components.loop.lag().takeMaxLag();
         if (lag > MIN_LOGGED_LAG_SECONDS) {
             components.log.info(String.format(Locale.ROOT, "event loop: max-lag-s=%.3f", lag));
--- a/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
@@ -42,23 +42,23 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Serves requests of its own through a second set of actors, over pipes inside the process, before the sidecar is
- * ready. Guards against a JVM that loads and compiles its code under the first clients' load and answers them late.
- * Runs on the event loop.
+ * Sends generated requests through a second set of actors, over pipes inside the process, before the sidecar is ready.
+ * Without it the JVM would load and compile classes while it serves the first clients, and answer them late. Runs on
+ * the event loop.
  */
 public final class WarmUp {
 
     /**
-     * How long a warm-up lasts: until one of the two is reached.
+     * How long a warm-up lasts: until either limit is reached.
      *
-     * @param requests that have been answered
-     * @param seconds since its start
+     * @param requests number of requests that have been answered
+     * @param seconds time since the start of the warm-up
      */
     public record Length(int requests, double seconds) {
 
-        /** Of a process that clients wait for. */
+        /** For a process without a serving sibling: clients wait for it. */
         static final Length FIRST = new Length(1000, 1.5);
-        /** Of one whose clients have a sibling process meanwhile. */
+        /** For a process whose clients are served by a sibling process meanwhile. */
         static final Length SUCCESSOR = new Length(6000, 3);
     }
 
@@ -66,9 +66,9 @@
     private static final int UPSTREAM_COUNT = 3;
     private static final int MAX_CONNECTIONS = 100;
     private static final int DEADLINE_MS = 1000;
-    /** Of each request that is not safe, and of each response. */
+    /** The body of each request that is not safe, and of each response. */
     private static final byte[] BODY = new byte[256];
-    /** Connections go over pipes: the address is never used. */
+    /** Never used, as connections are pipes. */
     private static final InetSocketAddress UNUSED_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     private final EventLoop loop;
@@ -80,7 +80,7 @@
     private final List<UpstreamActor> upstreams = new ArrayList<>();
     private final List<HttpConnection> clients = new ArrayList<>();
     private final List<RequestClass> requestClasses;
-    /** Null before the start and once it has ended. */
+    /** Null before the start and after the end. */
     private Runnable onEnd;
 
     private int sentCount;
@@ -116,7 +116,11 @@
         }
     }
 
-    /** Starts; calls onEnd once, when its length is reached or {@link #end} is called. */
+    /**
+     * Starts the warm-up.
+     *
+     * @param onEnd called once, when the length is reached or {@link #end} is called
+     */
     void run(Runnable onEnd) {
         this.onEnd = onEnd;
         if (requestClasses.isEmpty()) {
@@ -137,7 +141,7 @@
         loop.schedule(length.seconds, this::end);
     }
 
-    /** Ends now and calls what was given to {@link #run}; does nothing where it has ended. */
+    /** Ends the warm-up now and calls the callback given to {@link #run}. Does nothing after the end. */
     void end() {
         if (onEnd == null) {
             return;
@@ -149,17 +153,17 @@
         callback.run();
     }
 
-    /** Requests that were answered, with any status. */
+    /** Returns the number of requests that were answered, with any status. */
     int answeredCount() {
         return answeredCount;
     }
 
-    /** Requests that were served. */
+    /** Returns the number of requests that were answered with status 200. */
     int servedCount() {
         return servedCount;
     }
 
-    /** With the upstreams of the warm-up as its endpoint list. */
+    /** Starts the load balancer with the warm-up's upstreams as its endpoint list. */
     private void startLoadBalancer() {
         List<Endpoint> endpoints = new ArrayList<>();
         Map<UpstreamId, UpstreamActor> added = new HashMap<>();
--- a/daemon/src/test/java/portrelay/cli/MainTest.java
+++ b/daemon/src/test/java/portrelay/cli/MainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes and output of the jar's commands, in processes of their own. */
+/** Checks exit codes and output of the jar's commands, each run in a separate process. */
 class MainTest {
 
     private record Result(int exitCode, String out, String err) {}
@@ -72,7 +72,10 @@
         assertTrue(missing.err().startsWith("portrelay: LB_CONFIG: expected a file that can be read"), missing.err());
     }
 
-    /** The build makes the archive of classes from this run: it has to reach those of a start and of a shutdown. */
+    /**
+     * The build creates the archive of classes from this command, so it has to load the classes of both a start and a
+     * shutdown.
+     */
     @Test
     void aCheckThatOpensTheSidecarStartsAndShutsItDown() throws Exception {
         String everyField = "../examples/config.json";
--- a/daemon/src/test/java/portrelay/net/eventloop/MailboxTest.java
+++ b/daemon/src/test/java/portrelay/net/eventloop/MailboxTest.java
@@ -43,7 +43,10 @@
         worker.shutdownNow();
     }
 
-    /** Guards against a new configuration (SIGHUP, on a thread of its own) that is lost beside the loop's messages. */
+    /**
+     * Guards against the loss of a reloaded configuration (SIGHUP, handled on a separate thread) that is posted while
+     * the loop posts messages too.
+     */
     @Test
     void everyMessageOfEveryThreadRunsOnceAndInItsOrder() throws Exception {
         CountDownLatch allRun = new CountDownLatch(POSTERS * MESSAGES_EACH);
@@ -72,7 +75,7 @@
         assertEquals("", logged.toString(US_ASCII));
     }
 
-    /** The others run, and the failure is in the log. */
+    /** A failing message is logged and the remaining messages run. */
     @Test
     void aMessageThatFailsTakesNoOtherWithIt() throws Exception {
         CountDownLatch lastRun = new CountDownLatch(1);
--- a/daemon/src/test/java/portrelay/net/handover/HandoverDirectoryTest.java
+++ b/daemon/src/test/java/portrelay/net/handover/HandoverDirectoryTest.java
@@ -20,7 +20,10 @@
     private static final int ROWS = 20_000;
     private static final int LONGEST_LIST_BYTES = 4 * 1024 * 1024;
 
-    /** Guards against a successor that starts without the list, as it is nearly as long as discovery may send it. */
+    /**
+     * Guards against a successor that starts without an endpoint list because it refuses to read a state file whose
+     * list is nearly as long as discovery may send.
+     */
     @Test
     void aStateWithTheLongestListIsRead(@TempDir Path folder) throws Exception {
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
--- a/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
+++ b/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
@@ -11,10 +11,10 @@
 import portrelay.json.JsonTree;
 import portrelay.model.UpstreamId;
 
-/** Guards the stored form: a process of another version reads it. */
+/** Guards the stored form against changes, as processes of other versions read it. */
 class HandoverStateCodecTest {
 
-    /** As version 5d52c72 wrote it. */
+    /** A state file as version 5d52c72 wrote it. */
     private static final String RECORDED = """
             {
               "form" : 1,
