--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -146,7 +146,7 @@
         if (membership == null) {
             return;
         }
-        if (membership.takeChanged()) {
+        if (membership.checkAndClearChanged()) {
             double earliestAt = lastAssignedAt + (wasMinorityKnown ? 0 : REASSIGN_INTERVAL_SECONDS);
             nextAssignAt = Math.min(nextAssignAt, Math.max(nowSeconds + REASSIGN_DELAY_SECONDS, earliestAt));
         }
@@ -190,7 +190,7 @@
         membership.setSubsetPeers(segmentOf.keySet().stream()
                 .filter(each -> segmentOf.get(each).equals(ownSegment))
                 .toList());
-        return ownSegment.seats().stream().map(readyUpstreams::get).toList();
+        return ownSegment.slotIndexes().stream().map(readyUpstreams::get).toList();
     }
 
     /**
--- a/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseWriter.java
@@ -9,17 +9,17 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.Log;
 
-/** Writes responses that are held in memory, and chooses how the connection ends behind each. */
+/** Writes responses that are held in memory, and chooses how the connection ends after each. */
 final class ResponseWriter {
 
-    /** What may still come on a connection when its last response is written. */
-    enum Unread {
+    /** Bytes that may still arrive on a connection when its last response is written. */
+    enum UnreadInput {
         /** Nothing of this request. */
         NOTHING,
-        /** The rest of a sound body. */
+        /** The rest of a well-formed body. */
         BODY,
-        /** Bytes that the client sent behind a complete request and that are discarded. */
-        BEHIND_REQUEST
+        /** Bytes that the client sent after a complete request and that are discarded. */
+        AFTER_REQUEST
     }
 
     private final Log log;
@@ -34,11 +34,11 @@
         this.connections = connections;
         this.service = service;
         closeAfterMalformed = new LingeringClose(loop, connections, false, LingeringClose.BRIEF);
-        closeAfterBody = new LingeringClose(loop, connections, false, LingeringClose.FOR_THE_BODY);
+        closeAfterBody = new LingeringClose(loop, connections, false, LingeringClose.REMAINING_BODY);
         closeAfterComplete = new LingeringClose(loop, connections, true, LingeringClose.BRIEF);
     }
 
-    /** Whether connections end as soon as nothing is owed on them. */
+    /** Whether connections end as soon as no response is due on them. */
     boolean closesConnections() {
         return service.closesConnections();
     }
@@ -49,24 +49,24 @@
     }
 
     /** Sends the body of a response whose head is set. */
-    void send(HttpServerExchange exchange, byte[] body, Unread unread) {
-        if (unread == Unread.NOTHING) {
+    void send(HttpServerExchange exchange, byte[] body, UnreadInput unreadInput) {
+        if (unreadInput == UnreadInput.NOTHING) {
             exchange.getResponseSender().send(ByteBuffer.wrap(body));
             return;
         }
         exchange.setResponseContentLength(body.length);
-        LingeringClose close = unread == Unread.BODY ? closeAfterBody : closeAfterComplete;
+        LingeringClose close = unreadInput == UnreadInput.BODY ? closeAfterBody : closeAfterComplete;
         exchange.getResponseSender().send(ByteBuffer.wrap(body), close);
     }
 
-    /** Answers a request that is complete but can't be accepted; the connection stays. */
+    /** Answers a request that is complete but can't be accepted; the connection stays open. */
     void reject(HttpServerExchange exchange, MalformedRequestException cause) {
         reject(exchange, cause, IoCallback.END_EXCHANGE);
     }
 
     /**
-     * Answers a request whose end is unknown or too far to be read: what follows on the connection must neither be
-     * taken for a request nor be read to its end.
+     * Answers a request whose end is unknown or too far away to be read, and closes the connection: bytes that follow
+     * must neither be taken for a request nor be read to their end.
      */
     void rejectAndClose(HttpServerExchange exchange, MalformedRequestException cause) {
         exchange.setPersistent(false);
