--- a/daemon/src/main/java/portrelay/cli/CheckCommand.java
+++ b/daemon/src/main/java/portrelay/cli/CheckCommand.java
@@ -21,7 +21,7 @@
 @Parameters(commandDescription = "read a configuration and try it out in memory, without sockets")
 final class CheckCommand extends ConfigCommand {
 
-    private static final int DOES_NOT_SERVE = 1;
+    private static final int SERVES_NOTHING = 1;
     private static final String ANY_PORT = "127.0.0.1:0";
     private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n";
 
@@ -32,14 +32,14 @@
 
     @Override
     int run(SidecarConfig config) throws IOException, InvalidSettingException {
-        config.ignoredSettings().forEach(each -> System.out.println("not yet on sockets: " + each));
+        config.ignoredSettings().forEach(setting -> System.out.println("not yet on sockets: " + setting));
         boolean serves = Sidecar.check(config);
         System.out.println(serves ? "the configuration serves" : "the configuration served no request");
         if (serves && opensSidecar) {
-            open(config.withListen(ANY_PORT).withMgmt(ANY_PORT));
+            open(config.withListen(ANY_PORT).withAdminAddress(ANY_PORT));
             System.out.println("the sidecar starts and shuts down");
         }
-        return serves ? 0 : DOES_NOT_SERVE;
+        return serves ? 0 : SERVES_NOTHING;
     }
 
     /** Starts the sidecar and shuts it down. Its log is discarded, as discovery need not be reachable. */
@@ -47,7 +47,7 @@
         Path handoverDirectory = Files.createTempDirectory("portrelay-check");
         try (Sidecar sidecar = Sidecar.start(
                 config, new PrintStream(OutputStream.nullOutputStream(), false, US_ASCII), handoverDirectory)) {
-            askReadiness(sidecar);
+            requestReadiness(sidecar);
             sidecar.reload(config);
             sidecar.drain();
         } finally {
@@ -55,7 +55,7 @@
         }
     }
 
-    private static void askReadiness(Sidecar sidecar) throws IOException {
+    private static void requestReadiness(Sidecar sidecar) throws IOException {
         try (Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
             client.getOutputStream().write(READINESS_REQUEST.getBytes(US_ASCII));
@@ -68,8 +68,8 @@
         try (Stream<Path> files = Files.walk(folder)) {
             deepestFirst = files.sorted(Comparator.reverseOrder()).toList();
         }
-        for (Path each : deepestFirst) {
-            Files.delete(each);
+        for (Path path : deepestFirst) {
+            Files.delete(path);
         }
     }
 }
--- a/daemon/src/main/java/portrelay/cli/ConfigCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ConfigCommand.java
@@ -16,10 +16,10 @@
  */
 abstract class ConfigCommand implements Command {
 
-    private static final int BAD_CONFIGURATION = 2;
+    private static final int INVALID_CONFIGURATION = 2;
 
     @Parameter(names = "--config", description = "a sidecar's configuration, a JSON file")
-    private String configFile = System.getenv(SidecarConfig.FILE);
+    private String configFile = System.getenv(SidecarConfig.CONFIG_FILE_VARIABLE);
 
     @Parameter(names = "--door", description = "the admission settings, a separate JSON file")
     private String admissionFile;
@@ -38,14 +38,15 @@
         LogManager.getLogManager().reset();
         Logger.getLogger("").setLevel(Level.OFF);
         if (configFile == null) {
-            return badConfiguration(SidecarConfig.FILE + ": expected a file's name, or --config FILE");
+            return reportInvalidConfiguration(
+                    SidecarConfig.CONFIG_FILE_VARIABLE + ": expected a file's name, or --config FILE");
         }
         try {
             return run(read());
         } catch (InvalidSettingException e) {
-            return badConfiguration(e.getMessage());
+            return reportInvalidConfiguration(e.getMessage());
         } catch (IOException e) {
-            return badConfiguration(e.getMessage());
+            return reportInvalidConfiguration(e.getMessage());
         } catch (InterruptedException e) {
             return 0;
         }
@@ -56,10 +57,10 @@
      * precedence over that in the file, as it applies to this process only.
      */
     final SidecarConfig read() throws InvalidSettingException {
-        SidecarConfig config = SidecarConfig.parse(readFile(SidecarConfig.FILE, configFile));
-        String adminAddress = System.getenv(SidecarConfig.MGMT);
+        SidecarConfig config = SidecarConfig.parse(readFile(SidecarConfig.CONFIG_FILE_VARIABLE, configFile));
+        String adminAddress = System.getenv(SidecarConfig.ADMIN_ADDRESS_VARIABLE);
         if (adminAddress != null && !adminAddress.isEmpty()) {
-            config = config.withMgmt(adminAddress);
+            config = config.withAdminAddress(adminAddress);
         }
         return admissionFile == null ? config : config.withAdmission(readFile("--door", admissionFile));
     }
@@ -78,8 +79,8 @@
         }
     }
 
-    private static int badConfiguration(String why) {
-        System.err.println("portrelay: " + why);
-        return BAD_CONFIGURATION;
+    private static int reportInvalidConfiguration(String message) {
+        System.err.println("portrelay: " + message);
+        return INVALID_CONFIGURATION;
     }
 }
--- a/daemon/src/main/java/portrelay/cli/Main.java
+++ b/daemon/src/main/java/portrelay/cli/Main.java
@@ -8,7 +8,7 @@
 /** Runs the daemon's commands, and those that the kit adds. */
 public final class Main {
 
-    private static final int BAD_USE = 2;
+    private static final int INVALID_USAGE = 2;
 
     private static final String SIMULATE = "simulate";
     /** The name of {@code simulate} in earlier versions. */
@@ -55,7 +55,7 @@
             StringBuilder usage = new StringBuilder();
             parser.getUsageFormatter().usage(usage);
             System.err.println(usage);
-            return BAD_USE;
+            return INVALID_USAGE;
         }
         return command.run();
     }
--- a/daemon/src/main/java/portrelay/cli/MigrateCommand.java
+++ b/daemon/src/main/java/portrelay/cli/MigrateCommand.java
@@ -20,7 +20,7 @@
 
     private static final int ALL_CARRIED_OVER = 0;
     private static final int SOME_LEFT_OUT = 1;
-    private static final int BAD_INPUT = 2;
+    private static final int INVALID_INPUT = 2;
 
     @Parameter(names = "--config", required = true, description = "the old configuration, a JSON file")
     private String configFile;
@@ -43,9 +43,9 @@
             if (outFile == null && !dryRun) {
                 throw new InvalidSettingException("--out", "a file's name, or --dry-run");
             }
-            byte[] old = ConfigCommand.readFile("--config", configFile);
-            checkParses("--config " + configFile, old);
-            Migration.Result result = migrate(old, ConfigCommand.readFile("--shape", shapeFile));
+            byte[] oldJson = ConfigCommand.readFile("--config", configFile);
+            checkParses("--config " + configFile, oldJson);
+            Migration.Result result = migrate(oldJson, ConfigCommand.readFile("--shape", shapeFile));
             byte[] json = JsonTree.write(result.config());
             checkParses("--shape " + shapeFile, json);
             if (dryRun) {
@@ -54,11 +54,11 @@
             } else {
                 write(json);
             }
-            result.replaced().forEach(each -> System.err.println("replaced " + each));
-            result.leftOut().forEach(each -> System.err.println("left out " + each));
+            result.replaced().forEach(field -> System.err.println("replaced " + field));
+            result.leftOut().forEach(field -> System.err.println("left out " + field));
             SidecarConfig.parse(json)
                     .ignoredSettings()
-                    .forEach(each -> System.err.println("not yet on sockets " + each));
+                    .forEach(setting -> System.err.println("not yet on sockets " + setting));
             return result.leftOut().isEmpty() ? ALL_CARRIED_OVER : SOME_LEFT_OUT;
         } catch (InvalidSettingException e) {
             System.err.println("portrelay: " + e.getMessage());
@@ -66,12 +66,12 @@
             System.err.println("portrelay: --out: expected a new file that can be written, not " + outFile + ": "
                     + e.getClass().getSimpleName());
         }
-        return BAD_INPUT;
+        return INVALID_INPUT;
     }
 
-    private Migration.Result migrate(byte[] old, byte[] shapeJson) throws InvalidSettingException {
+    private Migration.Result migrate(byte[] oldJson, byte[] shapeJson) throws InvalidSettingException {
         try {
-            return Migration.of((Map<?, ?>) JsonTree.parse(old), JsonTree.parse(shapeJson));
+            return Migration.of((Map<?, ?>) JsonTree.parse(oldJson), JsonTree.parse(shapeJson));
         } catch (IOException e) {
             throw new InvalidSettingException("--shape " + shapeFile, "well-formed JSON, but " + firstLine(e));
         } catch (InvalidSettingException e) {
@@ -100,12 +100,12 @@
         if (Files.exists(target)) {
             throw new FileAlreadyExistsException(outFile);
         }
-        Path complete = Files.createTempFile(target.getParent(), ".portrelay", ".json");
+        Path temporary = Files.createTempFile(target.getParent(), ".portrelay", ".json");
         try {
-            Files.write(complete, json);
-            Files.createLink(target, complete);
+            Files.write(temporary, json);
+            Files.createLink(target, temporary);
         } finally {
-            Files.delete(complete);
+            Files.delete(temporary);
         }
     }
 }
--- a/daemon/src/main/java/portrelay/cli/ServeCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ServeCommand.java
@@ -25,15 +25,15 @@
     @Override
     int run(SidecarConfig config) throws IOException, InvalidSettingException, InterruptedException {
         CompletableFuture<Sidecar> opened = new CompletableFuture<>();
-        AtomicBoolean isEnding = new AtomicBoolean();
+        AtomicBoolean isShuttingDown = new AtomicBoolean();
         Log log = new Log(System.err, config.name());
-        config.ignoredSettings().forEach(each -> log.warn("not yet on sockets: " + each));
+        config.ignoredSettings().forEach(setting -> log.warn("not yet on sockets: " + setting));
         onHangUp(() -> reloadOnceOpened(opened, log));
         // Registered before the sidecar listens, so that a SIGTERM during the warm-up loses no requests either.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(opened, isEnding)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(opened, isShuttingDown)));
         String handoverDirectory = System.getenv("TMPDIR");
         try {
-            if (isEnding.get()) {
+            if (isShuttingDown.get()) {
                 throw new IOException("shutdown began before the sidecar was opened");
             }
             Sidecar sidecar =
@@ -50,10 +50,10 @@
     }
 
     /** Drains the sidecar. Waits for one that is still being opened, as it may listen already. */
-    private static void drain(CompletableFuture<Sidecar> opened, AtomicBoolean isEnding) {
+    private static void drain(CompletableFuture<Sidecar> opened, AtomicBoolean isShuttingDown) {
         // Taken first: SIGKILL is timed from the signal, also while the sidecar is being opened.
         long receivedAt = System.nanoTime();
-        isEnding.set(true);
+        isShuttingDown.set(true);
         try {
             opened.get(OPEN_TIMEOUT_SECONDS, TimeUnit.SECONDS).drain(receivedAt);
         } catch (ExecutionException | TimeoutException e) {
--- a/daemon/src/main/java/portrelay/cli/SimulateCommand.java
+++ b/daemon/src/main/java/portrelay/cli/SimulateCommand.java
@@ -12,7 +12,7 @@
 @Parameters(commandDescription = "read the simulator's events on standard input, write decisions on standard output")
 final class SimulateCommand implements Command {
 
-    private static final int BAD_INPUT = 1;
+    private static final int INVALID_INPUT = 1;
 
     private final String name;
 
@@ -32,6 +32,6 @@
         } catch (IOException e) {
             System.err.println("portrelay " + name + ": input or output failed: " + e.getMessage());
         }
-        return BAD_INPUT;
+        return INVALID_INPUT;
     }
 }
--- a/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
@@ -77,7 +77,7 @@
      * @param nanos a value of {@link System#nanoTime}
      */
     public double toLoopTime(long nanos) {
-        return clock.at(nanos);
+        return clock.fromNanoTime(nanos);
     }
 
     /** Queues the task to run on the loop, never inside this call. Drops it if the loop has ended. */
@@ -112,7 +112,7 @@
         try {
             if (pollMarker == null) {
                 pollMarker = thread.createHalfDuplexPipe();
-                pollMarker.getLeftSide().getReadSetter().set(this::polled);
+                pollMarker.getLeftSide().getReadSetter().set(this::pollMarkerRead);
                 pollMarker.getLeftSide().resumeReads();
             }
             if (tasksAfterPoll.isEmpty()) {
@@ -129,7 +129,7 @@
      * Queues the tasks instead of running them here, as the other events of the same poll are queued as tasks too and
      * have to be handled first.
      */
-    private void polled(StreamSourceChannel source) {
+    private void pollMarkerRead(StreamSourceChannel source) {
         try {
             source.read(ByteBuffer.allocate(8));
         } catch (IOException e) {
--- a/daemon/src/main/java/portrelay/net/eventloop/Log.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/Log.java
@@ -15,7 +15,7 @@
 
     private static final int MAX_TRACE_LINES = 12;
     /** Longest text that {@link #clean} returns, in characters. */
-    private static final int MAX_CLEAN_LENGTH = 80;
+    private static final int MAX_CLEANED_LENGTH = 80;
 
     private final PrintStream out;
     private final String sidecarName;
@@ -40,26 +40,26 @@
      */
     public void debug(Supplier<String> text) {
         if (isDebug) {
-            line("debug", text.get());
+            writeLine("debug", text.get());
         }
     }
 
     /** Logs a regular event. */
     public void info(String text) {
-        line("info", text);
+        writeLine("info", text);
     }
 
     /** Logs a problem outside this program, or one that the sidecar can cope with. */
     public void warn(String text) {
-        line("warn", text);
+        writeLine("warn", text);
     }
 
     /** Logs an error in this program, with the top of its stack trace. */
     public void fault(String text, Throwable cause) {
-        line("fault", text + ": " + cause);
+        writeLine("fault", text + ": " + cause);
         StackTraceElement[] trace = cause.getStackTrace();
         for (int i = 0; i < Math.min(MAX_TRACE_LINES, trace.length); i++) {
-            line("fault", "  at " + trace[i]);
+            writeLine("fault", "  at " + trace[i]);
         }
     }
 
@@ -68,10 +68,10 @@
      * text.
      */
     public static String clean(String text) {
-        return text.substring(0, Math.min(MAX_CLEAN_LENGTH, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
+        return text.substring(0, Math.min(MAX_CLEANED_LENGTH, text.length())).replaceAll("[^\\x20-\\x7e]", "?");
     }
 
-    private void line(String level, String text) {
+    private void writeLine(String level, String text) {
         out.println(Instant.now() + " " + sidecarName + " " + level + " " + text);
     }
 }
--- a/daemon/src/main/java/portrelay/net/eventloop/Mailbox.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/Mailbox.java
@@ -43,7 +43,7 @@
      * events are handled in between.
      */
     private void runAll() {
-        takePosted();
+        swapQueues();
         while (!running.isEmpty()) {
             try {
                 running.remove().run();
@@ -54,12 +54,12 @@
         }
     }
 
-    private void takePosted() {
+    private void swapQueues() {
         synchronized (lock) {
             isScheduled = false;
-            Queue<Runnable> taken = posted;
+            Queue<Runnable> pending = posted;
             posted = running;
-            running = taken;
+            running = pending;
         }
     }
 }
--- a/daemon/src/main/java/portrelay/net/eventloop/MonotonicClock.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/MonotonicClock.java
@@ -11,7 +11,7 @@
     private final long startNanos = System.nanoTime();
 
     double now() {
-        return at(System.nanoTime());
+        return fromNanoTime(System.nanoTime());
     }
 
     /**
@@ -19,7 +19,7 @@
      *
      * @param nanos a value of {@link System#nanoTime}
      */
-    double at(long nanos) {
+    double fromNanoTime(long nanos) {
         return startSeconds + (nanos - startNanos) / 1e9;
     }
 
--- a/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
@@ -43,9 +43,9 @@
     private final Pattern lockFileName;
     private final long ownNumber;
     private final FileChannel ownLock;
-    private final Map<Long, String> versionRead = new HashMap<>();
-    private final Map<Long, HandoverState> statesRead = new HashMap<>();
-    private final Set<Long> logged = new HashSet<>();
+    private final Map<Long, String> readVersions = new HashMap<>();
+    private final Map<Long, HandoverState> readStates = new HashMap<>();
+    private final Set<Long> loggedNumbers = new HashSet<>();
 
     /**
      * Takes the next number and locks its lock file.
@@ -59,7 +59,7 @@
         prefix = "portrelay-" + Long.toHexString(Hash.of(sidecarName)) + "-";
         lockFileName = Pattern.compile(Pattern.quote(prefix) + "(\\d{1,15})\\.lock");
         long highest = 0;
-        for (long number : numbers()) {
+        for (long number : processNumbers()) {
             highest = Math.max(highest, number);
         }
         ownNumber = highest + 1;
@@ -74,7 +74,7 @@
     }
 
     /** Returns the numbers of all processes that have a lock file, including this one. */
-    Set<Long> numbers() throws IOException {
+    Set<Long> processNumbers() throws IOException {
         Set<Long> numbers = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, prefix + "*.lock")) {
             for (Path file : files) {
@@ -90,8 +90,8 @@
     /** Whether the process holds its lock. The operating system releases the lock however the process ends. */
     boolean isAlive(long number) {
         try (FileChannel channel = FileChannel.open(lockFile(number), StandardOpenOption.WRITE);
-                FileLock taken = channel.tryLock()) {
-            return taken == null;
+                FileLock lock = channel.tryLock()) {
+            return lock == null;
         } catch (OverlappingFileLockException e) {
             // This JVM holds the lock: one program runs two sidecars.
             return true;
@@ -116,22 +116,22 @@
                 return null;
             }
             String version = version(file);
-            if (version.equals(versionRead.put(number, version))) {
-                return statesRead.get(number);
+            if (version.equals(readVersions.put(number, version))) {
+                return readStates.get(number);
             }
-            statesRead.remove(number);
+            readStates.remove(number);
             if (Files.size(file) > MAX_STATE_BYTES) {
                 throw new IOException("longer than " + MAX_STATE_BYTES + " bytes");
             }
-            statesRead.put(number, HandoverStateCodec.decode(JsonTree.parse(Files.readAllBytes(file)), sidecarName));
+            readStates.put(number, HandoverStateCodec.decode(JsonTree.parse(Files.readAllBytes(file)), sidecarName));
         } catch (IOException | InvalidSettingException | RuntimeException e) {
-            if (logged.add(number)) {
+            if (loggedNumbers.add(number)) {
                 String cause =
                         String.valueOf(e.getMessage()).lines().findFirst().orElse("");
                 log.warn("handover state ignored: process=" + number + " cause=" + cause);
             }
         }
-        return statesRead.get(number);
+        return readStates.get(number);
     }
 
     /** Replaces this process's state file atomically: a concurrent reader sees the previous state. */
@@ -154,8 +154,8 @@
         Files.deleteIfExists(file(number, "tmp"));
         Files.deleteIfExists(stateFile(number));
         Files.deleteIfExists(lockFile(number));
-        statesRead.remove(number);
-        versionRead.remove(number);
+        readStates.remove(number);
+        readVersions.remove(number);
     }
 
     void releaseLock() {
--- a/daemon/src/main/java/portrelay/net/handover/HandoverService.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverService.java
@@ -64,7 +64,7 @@
     private final HandoverDirectory directory;
     private final SiblingScan scan;
     private final HandoverState state;
-    private final ScheduledThreadPoolExecutor thread;
+    private final ScheduledThreadPoolExecutor executor;
     /** Null before {@link #start}. */
     private Listener listener;
 
@@ -77,12 +77,12 @@
         this.directory = new HandoverDirectory(directory, owner.name(), log);
         scan = new SiblingScan(this.directory, log);
         state = new HandoverState(owner);
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
+        executor = new ScheduledThreadPoolExecutor(1, task -> {
             Thread daemon = new Thread(task, "portrelay-handover");
             daemon.setDaemon(true);
             return daemon;
         });
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         // Written before the first scan: other processes ignore one that has a lock but no state.
         writeIfChanged();
         scanSiblings();
@@ -110,12 +110,12 @@
 
     /** Returns the last operator call for each upstream. */
     public Map<UpstreamId, HandoverState.OperatorCall> operatorCalls() {
-        return Map.copyOf(state.calls.latest());
+        return Map.copyOf(state.upstreamCalls.latest());
     }
 
     /** Whether operators took the sidecar out of service. */
     public boolean isOutOfService() {
-        return state.service.isOut();
+        return state.sidecarCall.takesOutOfService();
     }
 
     /** Returns the ids that discovery ever listed, the latest last. */
@@ -164,11 +164,11 @@
     /**
      * Records an operator call for an upstream that this process received.
      *
-     * @param at when the call came, on the event loop's clock
+     * @param calledAt when the call came, on the event loop's clock
      */
-    public void recordDisabled(UpstreamId id, boolean isDisabled, double at) {
+    public void recordDisabled(UpstreamId id, boolean isDisabled, double calledAt) {
         execute(() -> {
-            state.calls.merge(id, new HandoverState.OperatorCall(isDisabled, at));
+            state.upstreamCalls.merge(id, new HandoverState.OperatorCall(isDisabled, calledAt));
             writeChanged();
         });
     }
@@ -176,11 +176,11 @@
     /**
      * Records an operator call that took the sidecar out of service, or back into service, at this process.
      *
-     * @param at when the call came, on the event loop's clock
+     * @param calledAt when the call came, on the event loop's clock
      */
-    public void recordOutOfService(boolean isOut, double at) {
+    public void recordOutOfService(boolean isOutOfService, double calledAt) {
         execute(() -> {
-            state.service = new HandoverState.OperatorCall(isOut, at);
+            state.sidecarCall = new HandoverState.OperatorCall(isOutOfService, calledAt);
             writeChanged();
         });
     }
@@ -199,15 +199,15 @@
     /**
      * Announces that this process shuts down, so that no other process hands its clients over to this one.
      *
-     * @param onSuccessorKnown called on the event loop with whether a later process serves and is not shutting down
+     * @param onSuccessorChecked called on the event loop with whether a later process serves and is not shutting down
      *     itself
      */
-    public void announceEnd(Consumer<Boolean> onSuccessorKnown) {
+    public void announceShutdown(Consumer<Boolean> onSuccessorChecked) {
         execute(() -> {
             scanSiblings();
             boolean hasSuccessor = scan.hasSuccessor();
-            loop.execute(() -> onSuccessorKnown.accept(hasSuccessor));
-            state.isEnding = true;
+            loop.execute(() -> onSuccessorChecked.accept(hasSuccessor));
+            state.isShuttingDown = true;
             writeChanged();
         });
     }
@@ -220,9 +220,9 @@
             writeChanged();
             directory.releaseLock();
         });
-        thread.shutdown();
+        executor.shutdown();
         try {
-            if (!thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 log.warn(
                         "handover state may be out of date: last write not finished within-s=" + CLOSE_TIMEOUT_SECONDS);
             }
@@ -233,7 +233,7 @@
 
     private void execute(Runnable task) {
         try {
-            thread.execute(() -> runLogged(task));
+            executor.execute(() -> runLogged(task));
         } catch (RejectedExecutionException e) {
             // The sidecar is closed: nobody takes over what it learns now.
         }
@@ -254,9 +254,10 @@
     private void poll() {
         scanSiblings();
         writeIfChanged();
-        double seconds = sibling == Sibling.NONE ? POLL_INTERVAL_ALONE_SECONDS : POLL_INTERVAL_WITH_SIBLING_SECONDS;
+        double intervalSeconds =
+                sibling == Sibling.NONE ? POLL_INTERVAL_ALONE_SECONDS : POLL_INTERVAL_WITH_SIBLING_SECONDS;
         try {
-            thread.schedule(() -> execute(this::poll), (long) (seconds * 1e3), TimeUnit.MILLISECONDS);
+            executor.schedule(() -> execute(this::poll), (long) (intervalSeconds * 1e3), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             // The sidecar is closed.
         }
@@ -266,25 +267,25 @@
         scan.run(state.owner, this::merge);
         if (scan.sibling() != sibling) {
             sibling = scan.sibling();
-            Sibling found = sibling;
-            log.info("sibling process: state=" + found);
-            notifyListener(() -> listener.siblingChanged(found));
+            Sibling newSibling = sibling;
+            log.info("sibling process: state=" + newSibling);
+            notifyListener(() -> listener.siblingChanged(newSibling));
         }
     }
 
     /** Takes over the part of another process's state that is newer than this one's. */
     private void merge(HandoverState other, boolean isAlive) {
-        other.calls.latest().forEach((id, call) -> {
-            HandoverState.OperatorCall before = state.calls.get(id);
-            if (state.calls.merge(id, call)) {
-                notifyListener(() -> listener.disabledChanged(id, call.isOut()));
+        other.upstreamCalls.latest().forEach((id, call) -> {
+            HandoverState.OperatorCall previous = state.upstreamCalls.get(id);
+            if (state.upstreamCalls.merge(id, call)) {
+                notifyListener(() -> listener.disabledChanged(id, call.takesOutOfService()));
             }
-            isStateChanged |= !call.equals(before) && call.equals(state.calls.get(id));
+            isStateChanged |= !call.equals(previous) && call.equals(state.upstreamCalls.get(id));
         });
-        if (other.service.at() > state.service.at()) {
-            state.service = other.service;
+        if (other.sidecarCall.calledAt() > state.sidecarCall.calledAt()) {
+            state.sidecarCall = other.sidecarCall;
             isStateChanged = true;
-            notifyListener(() -> listener.inServiceChanged(!other.service.isOut()));
+            notifyListener(() -> listener.inServiceChanged(!other.sidecarCall.takesOutOfService()));
         }
         if (listener == null) {
             // Once started, this process has its own list.
--- a/daemon/src/main/java/portrelay/net/handover/HandoverState.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverState.java
@@ -15,10 +15,10 @@
     /**
      * A call by an operator.
      *
-     * @param isOut whether the call took the upstream, or the sidecar, out of service
-     * @param at when the call came
+     * @param takesOutOfService whether the call took the upstream, or the sidecar, out of service
+     * @param calledAt when the call came
      */
-    public record OperatorCall(boolean isOut, double at) {}
+    public record OperatorCall(boolean takesOutOfService, double calledAt) {}
 
     /**
      * The process that a state belongs to.
@@ -35,7 +35,7 @@
          * directory, so the listen address and the request classes are compared too. An upgrade may change some request
          * classes, but not all of them.
          */
-        boolean isSame(Owner other) {
+        boolean isSameSidecar(Owner other) {
             if (!name.equals(other.name)) {
                 return false;
             }
@@ -54,11 +54,11 @@
     /**
      * Whether the process is shutting down: another process that shuts down must not hand its clients over to this one.
      */
-    boolean isEnding;
+    boolean isShuttingDown;
     /** The last call that took the sidecar out of service or back into service; its time is 0 if there was none. */
-    OperatorCall service = new OperatorCall(false, 0);
+    OperatorCall sidecarCall = new OperatorCall(false, 0);
 
-    final OperatorCalls calls = new OperatorCalls();
+    final OperatorCalls upstreamCalls = new OperatorCalls();
     /** Ids that discovery ever listed, the latest last. */
     Set<UpstreamId> everListed = new LinkedHashSet<>();
     /** The endpoint list in discovery's format; null if there is none yet. */
--- a/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
@@ -27,15 +27,15 @@
         tree.put("listen", state.owner.listen());
         tree.put("offerings", List.copyOf(state.owner.requestClasses()));
         tree.put("serving", state.isServing);
-        tree.put("ending", state.isEnding);
-        tree.put("out-of-service", state.service.isOut());
-        tree.put("out-of-service-at", state.service.at());
+        tree.put("ending", state.isShuttingDown);
+        tree.put("out-of-service", state.sidecarCall.takesOutOfService());
+        tree.put("out-of-service-at", state.sidecarCall.calledAt());
         List<Object> calls = new ArrayList<>();
-        state.calls.latest().forEach((id, call) -> {
+        state.upstreamCalls.latest().forEach((id, call) -> {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("id", Long.toHexString(id.value()));
-            row.put("offline", call.isOut());
-            row.put("at", call.at());
+            row.put("offline", call.takesOutOfService());
+            row.put("at", call.calledAt());
             calls.add(row);
         });
         tree.put("calls", calls);
@@ -66,12 +66,12 @@
                 root.string("listen", null),
                 root.has("offerings") ? Set.copyOf(root.strings("offerings")) : Set.of()));
         state.isServing = root.optionalBoolean("serving");
-        state.isEnding = root.optionalBoolean("ending");
-        state.service = new HandoverState.OperatorCall(
+        state.isShuttingDown = root.optionalBoolean("ending");
+        state.sidecarCall = new HandoverState.OperatorCall(
                 root.optionalBoolean("out-of-service"), root.number("out-of-service-at"));
         for (JsonFields row : root.objects("calls")) {
             var call = new HandoverState.OperatorCall(row.requiredBoolean("offline"), row.number("at"));
-            state.calls.restore(upstreamId(root, "calls", row.string("id")), call);
+            state.upstreamCalls.restore(upstreamId(root, "calls", row.string("id")), call);
         }
         for (String id : root.strings("ever")) {
             state.everListed.add(upstreamId(root, "ever", id));
--- a/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
+++ b/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
@@ -37,16 +37,16 @@
      */
     boolean merge(UpstreamId id, HandoverState.OperatorCall call) {
         HandoverState.OperatorCall known = latest.get(id);
-        if (known != null && known.at() >= call.at()) {
+        if (known != null && known.calledAt() >= call.calledAt()) {
             return false;
         }
         latest.put(id, call);
         if (latest.size() > MAX_CALLS) {
             latest.entrySet().stream()
-                    .filter(entry -> !entry.getValue().isOut())
-                    .min(Comparator.comparingDouble(entry -> entry.getValue().at()))
+                    .filter(entry -> !entry.getValue().takesOutOfService())
+                    .min(Comparator.comparingDouble(entry -> entry.getValue().calledAt()))
                     .ifPresent(oldest -> latest.remove(oldest.getKey()));
         }
-        return known == null ? call.isOut() : known.isOut() != call.isOut();
+        return known == null ? call.takesOutOfService() : known.takesOutOfService() != call.takesOutOfService();
     }
 }
--- a/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
+++ b/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
@@ -33,7 +33,7 @@
         sibling = Sibling.NONE;
         hasSuccessor = false;
         try {
-            for (long number : directory.numbers()) {
+            for (long number : directory.processNumbers()) {
                 if (number != directory.ownNumber()) {
                     scan(number, owner, onState);
                 }
@@ -58,17 +58,17 @@
         boolean isEarlier = number < directory.ownNumber();
         boolean isAlive = directory.isAlive(number);
         HandoverState state = directory.read(number);
-        if (state != null && !owner.isSame(state.owner)) {
+        if (state != null && !owner.isSameSidecar(state.owner)) {
             // The state of another sidecar, or of a process of this sidecar that has not stored its listen address yet.
             return;
         }
         if (state != null) {
             onState.accept(state, isAlive);
         }
-        boolean serves = state != null && state.isServing;
-        hasSuccessor |= isAlive && !isEarlier && serves && !state.isEnding;
+        boolean isServing = state != null && state.isServing;
+        hasSuccessor |= isAlive && !isEarlier && isServing && !state.isShuttingDown;
         if (isAlive && state != null) {
-            sibling = isEarlier || serves || sibling == Sibling.SERVING ? Sibling.SERVING : Sibling.STARTING;
+            sibling = isEarlier || isServing || sibling == Sibling.SERVING ? Sibling.SERVING : Sibling.STARTING;
         }
         if (!isAlive && directory.ageSeconds(number) > MIN_DELETE_AGE_SECONDS && isEarlier) {
             directory.delete(number);
--- a/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
@@ -22,7 +22,7 @@
     /** The number of connections divided by this is kept free for connects to upstreams. */
     private static final int SPARE_DIVISOR = 16;
     /** While a sibling serves, clients get at least the whole limit divided by this. */
-    private static final int MIN_CLIENTS_DIVISOR = 4;
+    private static final int GUARANTEED_CLIENTS_DIVISOR = 4;
 
     private final int limit;
     private final boolean hasAdminEndpoint;
@@ -41,32 +41,32 @@
 
     /** Returns the number of connections that operators may hold; 0 without an admin endpoint. */
     int maxAdminConnections() {
-        return hasAdminEndpoint ? Math.min(MAX_ADMIN_CONNECTIONS, ownLimit() / ADMIN_DIVISOR) : 0;
+        return hasAdminEndpoint ? Math.min(MAX_ADMIN_CONNECTIONS, ownShare() / ADMIN_DIVISOR) : 0;
     }
 
     int maxUpstreamConnections() {
-        return connections() / 2;
+        return maxConnections() / 2;
     }
 
     /**
      * Returns the number of connections that clients may hold.
      *
-     * @param openToUpstreams number of connections to upstreams that are open or being opened
+     * @param openUpstreamConnections number of connections to upstreams that are open or being opened
      */
-    int maxClientConnections(int openToUpstreams) {
-        int all = connections();
-        int lent = all - all / SPARE_DIVISOR - openToUpstreams;
+    int maxClientConnections(int openUpstreamConnections) {
+        int total = maxConnections();
+        int available = total - total / SPARE_DIVISOR - openUpstreamConnections;
         // Clients that the sibling loses reconnect to this process, so the sum over both processes does not
         // grow.
-        int min = sibling == Sibling.SERVING ? limit / MIN_CLIENTS_DIVISOR : 1;
-        return Math.max(min, lent);
+        int guaranteed = sibling == Sibling.SERVING ? limit / GUARANTEED_CLIENTS_DIVISOR : 1;
+        return Math.max(guaranteed, available);
     }
 
     /**
      * Returns this process's share of the limit: a starting sibling needs only its reserve, a serving one needs as much
      * as this process.
      */
-    private int ownLimit() {
+    private int ownShare() {
         return switch (sibling) {
             case NONE -> limit;
             case STARTING -> limit - Math.min(RESERVED, limit / 2);
@@ -75,8 +75,8 @@
     }
 
     /** Returns the number of connections that clients and upstreams may hold together. */
-    private int connections() {
-        int reserved = (int) Math.min(RESERVED, MAX_RESERVED_SHARE * ownLimit());
-        return Math.max(2, ownLimit() - reserved - maxAdminConnections());
+    private int maxConnections() {
+        int reserved = (int) Math.min(RESERVED, MAX_RESERVED_SHARE * ownShare());
+        return Math.max(2, ownShare() - reserved - maxAdminConnections());
     }
 }
--- a/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
@@ -25,7 +25,7 @@
     /** Time after which health checks are answered with not ready unless a successor is known by then. */
     private static final double SUCCESSOR_TIMEOUT_SECONDS = 0.3;
     /** How long the process waits past its end time for clients that are still connected; SIGKILL may come first. */
-    private static final double MAX_OVERTIME_SECONDS = 0.5;
+    private static final double MAX_END_DELAY_SECONDS = 0.5;
 
     private final EventLoop loop;
     private final Log log;
@@ -65,7 +65,7 @@
      *
      * @param signalledAt when the signal arrived, on the loop's clock
      */
-    void signalled(double signalledAt) {
+    void signalReceived(double signalledAt) {
         loop.execute(() -> begin(signalledAt));
     }
 
@@ -75,17 +75,17 @@
         // at which the signal may have been sent.
         double endBy =
                 ShutdownBudget.of(signalledAt, signalledAt, maxDeadlineSeconds).endBy();
-        double leftSeconds = endBy + MAX_OVERTIME_SECONDS - loop.now();
-        ended.await(Math.max(0, (long) (leftSeconds * 1e3)), TimeUnit.MILLISECONDS);
+        double remainingSeconds = endBy + MAX_END_DELAY_SECONDS - loop.now();
+        ended.await(Math.max(0, (long) (remainingSeconds * 1e3)), TimeUnit.MILLISECONDS);
     }
 
     /**
      * Called once it is known whether a successor exists.
      *
-     * @param serves whether a successor serves at this address
+     * @param isServing whether a successor serves at this address
      */
-    void successorKnown(boolean serves) {
-        if (serves) {
+    void successorChecked(boolean isServing) {
+        if (isServing) {
             shutdown.successorStarted();
         } else {
             frontend.setReady(false);
@@ -147,7 +147,7 @@
 
     @Override
     public void end() {
-        exitOnceAnswered(loop.now() + MAX_OVERTIME_SECONDS);
+        endOnceAnswered(loop.now() + MAX_END_DELAY_SECONDS);
     }
 
     /**
@@ -155,15 +155,15 @@
      * time, for example because the process was stopped (SIGSTOP), are answered first: exiting would lose them just as
      * SIGKILL does.
      */
-    private void exitOnceAnswered(double atLatest) {
-        if (frontend.clientCount() == 0 || loop.now() >= atLatest) {
+    private void endOnceAnswered(double latestEnd) {
+        if (frontend.clientCount() == 0 || loop.now() >= latestEnd) {
             logStep("ended");
             ended.countDown();
             return;
         }
         loadBalancer.failOpenRequests();
         frontend.closeIdle(0);
-        loop.schedule(POLL_INTERVAL_SECONDS, () -> exitOnceAnswered(atLatest));
+        loop.schedule(POLL_INTERVAL_SECONDS, () -> endOnceAnswered(latestEnd));
     }
 
     @Override
@@ -190,10 +190,10 @@
      * Closes idle connections, fails open requests in the closing phase, and reports when no client is connected.
      * Repeats itself until the shutdown has ended.
      *
-     * @param dueAt the time this call was scheduled for
+     * @param scheduledAt the time this call was scheduled for
      */
-    private void poll(double dueAt) {
-        observeLag(loop.now() - dueAt);
+    private void poll(double scheduledAt) {
+        observeLag(loop.now() - scheduledAt);
         Shutdown.Phase phase = shutdown.phase();
         if (phase == Shutdown.Phase.ENDED) {
             return;
--- a/daemon/src/main/java/portrelay/net/lifecycle/Sidecar.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/Sidecar.java
@@ -42,15 +42,16 @@
         upstreamConnector = components.upstreamConnector;
         loadBalancer = components.loadBalancer;
         startup = new Startup(config, components);
-        boolean besideServingSibling = components.siblingAtStart() == HandoverService.Sibling.SERVING;
-        WarmUp.Length usualLength = besideServingSibling ? WarmUp.Length.SUCCESSOR : WarmUp.Length.FIRST;
-        WarmUp warmUp = new WarmUp(loop, components.buffers, config, warmUpLength == null ? usualLength : warmUpLength);
+        boolean hasServingSibling = components.siblingAtStart() == HandoverService.Sibling.SERVING;
+        WarmUp.Length defaultLength = hasServingSibling ? WarmUp.Length.SUCCESSOR : WarmUp.Length.FIRST;
+        WarmUp warmUp =
+                new WarmUp(loop, components.buffers, config, warmUpLength == null ? defaultLength : warmUpLength);
         try {
             if (components.admin != null) {
                 components.admin.listen(components.worker, config.adminAddress());
             }
             runOnLoop(() -> startActors(warmUp));
-            if (!besideServingSibling) {
+            if (!hasServingSibling) {
                 // Listens only now: a request that is read before the actors run, or before a signal can reach them,
                 // may wait too long.
                 startup.listen();
@@ -169,11 +170,11 @@
     public void drain(long signalledAtNanos) {
         double signalledAt = loop.toLoopTime(signalledAtNanos);
         ShutdownActor shutdown = components.shutdown;
-        shutdown.signalled(signalledAt);
+        shutdown.signalReceived(signalledAt);
         if (components.handover == null) {
-            loop.execute(() -> shutdown.successorKnown(false));
+            loop.execute(() -> shutdown.successorChecked(false));
         } else {
-            components.handover.announceEnd(shutdown::successorKnown);
+            components.handover.announceShutdown(shutdown::successorChecked);
         }
         if (closed) {
             // The loop of a closed sidecar runs no tasks, so the wait below would last until the end time.
@@ -218,7 +219,7 @@
         HandoverService handover = components.handover;
         if (handover != null) {
             handover.operatorCalls().forEach((id, call) -> {
-                if (call.isOut()) {
+                if (call.takesOutOfService()) {
                     loadBalancer.setDisabled(id, true, () -> {});
                 }
             });
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarComponents.java
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Adapts the limit of client connections to the number of connections that upstreams hold. Runs on the loop, with each
-     * connect to an upstream, so that clients give descriptors back as soon as upstreams need them, and get those that
-     * upstreams no longer hold.
+     * Adapts the limit of client connections to the number of connections that upstreams hold. Runs on the loop, with
+     * each connect to an upstream, so that clients give descriptors back as soon as upstreams need them, and get those
+     * that upstreams no longer hold.
      */
     void updateClientLimit() {
         frontend.setMaxClients(descriptors.maxClientConnections(upstreamConnector.openCount()));
@@ -173,9 +173,9 @@
 
     private DiscoveryActor discoveryActor(SidecarConfig config) {
         double connectTimeoutSeconds = config.settings().connectTimeout();
-        double configuredSeconds = config.settings().connectionIdleTimeout();
+        double configuredIdleTimeoutSeconds = config.settings().connectionIdleTimeout();
         double upstreamIdleTimeoutSeconds =
-                configuredSeconds > 0 ? configuredSeconds : DEFAULT_UPSTREAM_IDLE_TIMEOUT_SECONDS;
+                configuredIdleTimeoutSeconds > 0 ? configuredIdleTimeoutSeconds : DEFAULT_UPSTREAM_IDLE_TIMEOUT_SECONDS;
         double idleTimeoutSeconds = IDLE_TIMEOUT_SHARE * upstreamIdleTimeoutSeconds;
         return new DiscoveryActor(
                 loop,
--- a/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/SidecarConfig.java
@@ -38,9 +38,9 @@
         PeerAddresses peers) {
 
     /** The environment variable with the path of the configuration file. */
-    public static final String FILE = WireNames.CONFIG_FILE_VARIABLE;
+    public static final String CONFIG_FILE_VARIABLE = WireNames.CONFIG_FILE_VARIABLE;
     /** The environment variable with the address of the admin endpoint; it overrides the file. */
-    public static final String MGMT = WireNames.ADMIN_ADDRESS_VARIABLE;
+    public static final String ADMIN_ADDRESS_VARIABLE = WireNames.ADMIN_ADDRESS_VARIABLE;
 
     private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
     private static final int MAX_DESCRIPTOR_LIMIT = 10_000_000;
@@ -51,7 +51,7 @@
      * @throws InvalidSettingException if a field is missing or wrong; names the first such field
      */
     public static SidecarConfig parse(byte[] json) throws InvalidSettingException {
-        JsonFields root = JsonFields.of(tree(json), "");
+        JsonFields root = JsonFields.of(parseTree(json), "");
         int descriptorLimit = root.has(WireNames.LIMITS)
                 ? root.section(WireNames.LIMITS)
                         .integer(WireNames.MAX_SOCKETS, DEFAULT_DESCRIPTOR_LIMIT, 1, MAX_DESCRIPTOR_LIMIT)
@@ -83,7 +83,7 @@
      * @param json one object with the fields of the admission section
      */
     public SidecarConfig withAdmission(byte[] json) throws InvalidSettingException {
-        JsonFields fields = JsonFields.of(tree(json), WireNames.ADMISSION);
+        JsonFields fields = JsonFields.of(parseTree(json), WireNames.ADMISSION);
         return new SidecarConfig(
                 name,
                 listen,
@@ -125,10 +125,10 @@
      *
      * @param text a numeric address and a port
      */
-    public SidecarConfig withMgmt(String text) throws InvalidSettingException {
+    public SidecarConfig withAdminAddress(String text) throws InvalidSettingException {
         InetSocketAddress address = SocketAddresses.parse(text);
         if (address == null) {
-            throw new InvalidSettingException(MGMT, "a numeric address and a port");
+            throw new InvalidSettingException(ADMIN_ADDRESS_VARIABLE, "a numeric address and a port");
         }
         return new SidecarConfig(
                 name, listen, discovery, address, seed, descriptorLimit, cachedEndpoints, settings, admission, peers);
@@ -139,7 +139,7 @@
         return settings.unsupportedOverSockets(peers != null);
     }
 
-    private static Object tree(byte[] json) throws InvalidSettingException {
+    private static Object parseTree(byte[] json) throws InvalidSettingException {
         try {
             return JsonTree.parseStrict(json);
         } catch (IOException e) {
--- a/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
@@ -23,13 +23,13 @@
         if (lag > MIN_LOGGED_LAG_SECONDS) {
             components.log.info(String.format(Locale.ROOT, "event loop: max-lag-s=%.3f", lag));
         }
-        logUnlessNull(components.connectionCounters.summaryLine());
-        logUnlessNull(components.peers == null ? null : components.peers.droppedMessagesLine());
+        logIfPresent(components.connectionCounters.summaryLine());
+        logIfPresent(components.peers == null ? null : components.peers.droppedMessagesLine());
         components.admission.logCounters();
         components.loop.schedule(intervalSeconds, this::start);
     }
 
-    private void logUnlessNull(String line) {
+    private void logIfPresent(String line) {
         if (line != null) {
             components.log.info(line);
         }
--- a/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/WarmUp.java
@@ -166,7 +166,7 @@
     /** Starts the load balancer with the warm-up's upstreams as its endpoint list. */
     private void startLoadBalancer() {
         List<Endpoint> endpoints = new ArrayList<>();
-        Map<UpstreamId, UpstreamActor> added = new HashMap<>();
+        Map<UpstreamId, UpstreamActor> upstreamsById = new HashMap<>();
         for (UpstreamActor upstream : upstreams) {
             Endpoint endpoint = new Endpoint(
                     new UpstreamId(endpoints.size()),
@@ -177,10 +177,10 @@
                     new ZoneId(0),
                     new InstanceTypeId(0));
             endpoints.add(endpoint);
-            added.put(endpoint.id(), upstream);
+            upstreamsById.put(endpoint.id(), upstream);
         }
         loadBalancer.start(() -> {}, null);
-        loadBalancer.endpointsUpdated(EndpointUpdate.COMPLETE, endpoints, added, Set.of());
+        loadBalancer.endpointsUpdated(EndpointUpdate.COMPLETE, endpoints, upstreamsById, Set.of());
     }
 
     private void sendNext(HttpConnection client) {
--- a/daemon/src/test/java/portrelay/cli/MainTest.java
+++ b/daemon/src/test/java/portrelay/cli/MainTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void simulateAndItsEarlierNameDoTheSame() throws Exception {
+    void simulateAndItsAliasBehaveTheSame() throws Exception {
         String input = "[\"clock\",1]\n[\"flush\"]\n";
         Result expected = new Result(0, "[\"ok\"]\n", "");
         assertEquals(expected, run(input, "simulate"));
@@ -47,11 +47,11 @@
     }
 
     @Test
-    void malformedInputEndsASimulationWithCodeOneAndItsLine() throws Exception {
+    void malformedInputEndsASimulationWithCodeOneAndTheLineNumber() throws Exception {
         String input = "[\"clock\",1]\n[\"nonsense\"]\n";
-        String why = ": line 2: expected a known event, not nonsense\n";
-        assertEquals(new Result(1, "", "portrelay simulate" + why), run(input, "simulate"));
-        assertEquals(new Result(1, "", "portrelay drill" + why), run(input, "drill"));
+        String error = ": line 2: expected a known event, not nonsense\n";
+        assertEquals(new Result(1, "", "portrelay simulate" + error), run(input, "simulate"));
+        assertEquals(new Result(1, "", "portrelay drill" + error), run(input, "drill"));
     }
 
     @Test
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aMissingConfigurationIsNamed() throws Exception {
+    void aMissingConfigurationFileIsReportedWithItsField() throws Exception {
         Result missing =
                 run("", "check", "--config", folder.resolve("none.json").toString());
         assertEquals(2, missing.exitCode());
@@ -78,9 +78,9 @@
      */
     @Test
     void aCheckThatOpensTheSidecarStartsAndShutsItDown() throws Exception {
-        String everyField = "../examples/config.json";
-        Result opened = run("", "check", "--config", everyField, "--open");
+        String fullConfig = "../examples/config.json";
+        Result opened = run("", "check", "--config", fullConfig, "--open");
         assertEquals(new Result(0, "the configuration serves\nthe sidecar starts and shuts down\n", ""), opened);
-        assertEquals(new Result(0, "the configuration serves\n", ""), run("", "check", "--config", everyField));
+        assertEquals(new Result(0, "the configuration serves\n", ""), run("", "check", "--config", fullConfig));
     }
 }
--- a/daemon/src/test/java/portrelay/net/AdminNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdminNetTest.java
@@ -259,11 +259,11 @@
                 .getMessage();
         assertTrue(named.startsWith("mgmt:"), named);
         SidecarConfig config = SidecarConfig.parse(good.getBytes(ISO_8859_1));
-        named = assertThrows(InvalidSettingException.class, () -> config.withMgmt("there"))
+        named = assertThrows(InvalidSettingException.class, () -> config.withAdminAddress("there"))
                 .getMessage();
         assertTrue(named.startsWith("LB_MGMT:"), named);
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            SidecarConfig two = config.withMgmt("127.0.0.1:" + taken.getLocalPort());
+            SidecarConfig two = config.withAdminAddress("127.0.0.1:" + taken.getLocalPort());
             String why = assertThrows(IOException.class, () -> Sidecar.start(two, System.err))
                     .getMessage();
             assertTrue(why.startsWith("mgmt "), why);
--- a/daemon/src/test/java/portrelay/net/eventloop/MailboxTest.java
+++ b/daemon/src/test/java/portrelay/net/eventloop/MailboxTest.java
@@ -23,8 +23,8 @@
 @Timeout(60)
 class MailboxTest {
 
-    private static final int POSTERS = 3;
-    private static final int MESSAGES_EACH = 200_000;
+    private static final int POSTER_COUNT = 3;
+    private static final int MESSAGES_PER_POSTER = 200_000;
 
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private XnioWorker worker;
@@ -48,36 +48,36 @@
      * the loop posts messages too.
      */
     @Test
-    void everyMessageOfEveryThreadRunsOnceAndInItsOrder() throws Exception {
-        CountDownLatch allRun = new CountDownLatch(POSTERS * MESSAGES_EACH);
-        int[] nextOf = new int[POSTERS];
+    void messagesOfEachThreadRunOnceAndInPostingOrder() throws Exception {
+        CountDownLatch allRun = new CountDownLatch(POSTER_COUNT * MESSAGES_PER_POSTER);
+        int[] nextMessageByPoster = new int[POSTER_COUNT];
         AtomicInteger outOfOrder = new AtomicInteger();
         List<Thread> posters = new ArrayList<>();
-        for (int i = 0; i < POSTERS; i++) {
+        for (int i = 0; i < POSTER_COUNT; i++) {
             int poster = i;
             posters.add(new Thread(() -> {
-                for (int j = 0; j < MESSAGES_EACH; j++) {
+                for (int j = 0; j < MESSAGES_PER_POSTER; j++) {
                     int message = j;
                     mailbox.post(() -> {
-                        outOfOrder.addAndGet(nextOf[poster] == message ? 0 : 1);
-                        nextOf[poster] = message + 1;
+                        outOfOrder.addAndGet(nextMessageByPoster[poster] == message ? 0 : 1);
+                        nextMessageByPoster[poster] = message + 1;
                         allRun.countDown();
                     });
                 }
             }));
         }
         posters.forEach(Thread::start);
-        for (Thread each : posters) {
-            each.join();
+        for (Thread poster : posters) {
+            poster.join();
         }
-        assertTrue(allRun.await(20, TimeUnit.SECONDS), "never run: " + allRun.getCount() + " " + logged);
+        assertTrue(allRun.await(20, TimeUnit.SECONDS), "messages that never ran: " + allRun.getCount() + " " + logged);
         assertEquals(0, outOfOrder.get());
         assertEquals("", logged.toString(US_ASCII));
     }
 
     /** A failing message is logged and the remaining messages run. */
     @Test
-    void aMessageThatFailsTakesNoOtherWithIt() throws Exception {
+    void messagesAfterAFailingOneStillRun() throws Exception {
         CountDownLatch lastRun = new CountDownLatch(1);
         loop.execute(() -> {
             mailbox.post(() -> {
--- a/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
+++ b/daemon/src/test/java/portrelay/net/handover/HandoverStateCodecTest.java
@@ -56,18 +56,18 @@
     private static final UpstreamId ENABLED = new UpstreamId(-2);
 
     @Test
-    void aRecordedFileIsReadAndWrittenAgainByteForByte() throws Exception {
+    void recordedStateFileIsDecodedAndEncodedUnchanged() throws Exception {
         HandoverState state = HandoverStateCodec.decode(JsonTree.parse(RECORDED.getBytes(UTF_8)), "t");
         assertEquals(new HandoverState.Owner("t", "127.0.0.1:8080", Set.of("read")), state.owner);
-        assertTrue(state.isServing && state.isEnding);
-        assertEquals(new HandoverState.OperatorCall(true, 1764750000.25), state.service);
+        assertTrue(state.isServing && state.isShuttingDown);
+        assertEquals(new HandoverState.OperatorCall(true, 1764750000.25), state.sidecarCall);
         assertEquals(
                 Map.of(
                         DISABLED,
                         new HandoverState.OperatorCall(true, 1764750001.5),
                         ENABLED,
                         new HandoverState.OperatorCall(false, 1764750002)),
-                state.calls.latest());
+                state.upstreamCalls.latest());
         assertEquals(List.of(ENABLED, DISABLED), List.copyOf(state.everListed));
         String written = new String(JsonTree.write(HandoverStateCodec.encode(state)), UTF_8);
         assertEquals(RECORDED.strip(), written.strip());
--- a/daemon/src/test/java/portrelay/net/lifecycle/DescriptorBudgetTest.java
+++ b/daemon/src/test/java/portrelay/net/lifecycle/DescriptorBudgetTest.java
@@ -8,7 +8,7 @@
 class DescriptorBudgetTest {
 
     @Test
-    void aloneAProcessDividesTheWholeLimit() {
+    void aProcessWithoutSiblingDividesTheWholeLimit() {
         DescriptorBudget budget = new DescriptorBudget(1024, true, Sibling.NONE);
         assertEquals(48, budget.maxAdminConnections());
         assertEquals(456, budget.maxUpstreamConnections());
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void besideASiblingItDividesItsShare() {
+    void aProcessWithASiblingDividesItsShare() {
         DescriptorBudget budget = new DescriptorBudget(1024, true, Sibling.NONE);
         budget.siblingChanged(Sibling.STARTING);
         assertEquals(424, budget.maxUpstreamConnections());
@@ -31,7 +31,7 @@
 
     /** Guards against limits that stay halved once the sibling is gone. */
     @Test
-    void onceTheSiblingIsGoneItDividesTheWholeLimitAgain() {
+    void aProcessWhoseSiblingHasEndedDividesTheWholeLimitAgain() {
         DescriptorBudget budget = new DescriptorBudget(1024, true, Sibling.SERVING);
         budget.siblingChanged(Sibling.NONE);
         assertEquals(456, budget.maxUpstreamConnections());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theSmallestLimitLeavesAConnectionForEachSide() {
+    void theSmallestLimitLeavesOneUpstreamAndOneClientConnection() {
         DescriptorBudget budget = new DescriptorBudget(1, false, Sibling.NONE);
         assertEquals(0, budget.maxAdminConnections());
         assertEquals(1, budget.maxUpstreamConnections());
--- a/daemon/src/test/java/portrelay/net/lifecycle/WarmUpTest.java
+++ b/daemon/src/test/java/portrelay/net/lifecycle/WarmUpTest.java
@@ -22,21 +22,21 @@
 
     /** Guards against a warm-up that takes a large fleet's share of capacity and rejects its own requests. */
     @Test
-    void inALargeFleetTheWarmUpsRequestsAreServed() throws Exception {
+    void warmUpRequestsAreServedInALargeFleet() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
             EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
             String config = SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 1024)
                     .replace("\"siblings\":1", "\"siblings\":100");
-            WarmUp warmup = new WarmUp(
+            WarmUp warmUp = new WarmUp(
                     loop,
                     new DefaultByteBufferPool(true, 16384),
                     SidecarConfig.parse(config.getBytes(UTF_8)),
                     new WarmUp.Length(REQUESTS, 60));
             CompletableFuture<Integer> servedCount = new CompletableFuture<>();
-            loop.execute(() -> warmup.run(() -> servedCount.complete(warmup.servedCount())));
+            loop.execute(() -> warmUp.run(() -> servedCount.complete(warmUp.servedCount())));
             assertTrue(servedCount.get(60, TimeUnit.SECONDS) > 0);
-            assertEquals(warmup.answeredCount(), warmup.servedCount());
+            assertEquals(warmUp.answeredCount(), warmUp.servedCount());
         } finally {
             worker.shutdownNow();
         }
