--- a/daemon/src/main/java/portrelay/cli/ConfigCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ConfigCommand.java
@@ -28,7 +28,8 @@
      * Runs the command with a validated configuration.
      *
      * @return the exit code
-     * @throws IOException reported as an invalid configuration, as is InvalidSettingException
+     * @throws IOException reported as an invalid configuration
+     * @throws InvalidSettingException reported as an invalid configuration
      */
     abstract int run(SidecarConfig config) throws IOException, InvalidSettingException, InterruptedException;
 
--- a/daemon/src/main/java/portrelay/net/eventloop/Log.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/Log.java
@@ -49,7 +49,7 @@
         writeLine("info", text);
     }
 
-    /** Logs a problem outside this program, or one that the sidecar can cope with. */
+    /** Logs a problem that is not an error in this program. */
     public void warn(String text) {
         writeLine("warn", text);
     }
--- a/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
@@ -17,7 +17,7 @@
     private static final double MAX_RESERVED_SHARE = 0.25;
 
     private static final int MAX_ADMIN_CONNECTIONS = 48;
-    /** Operator calls get the limit divided by this. */
+    /** Operators get at most this process's share of the limit divided by this. */
     private static final int ADMIN_DIVISOR = 8;
     /** The number of connections divided by this is kept free for connects to upstreams. */
     private static final int SPARE_DIVISOR = 16;
--- a/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Logs counters at an interval; a line without news is left out. Runs on the event loop. */
+/** Logs counters at an interval; a line with nothing to report is left out. Runs on the event loop. */
 final class StatusLog {
 
     /** Event loop lag up to this is not logged. */
@@ -16,7 +16,7 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    /** Logs once at once, then repeats at the interval for as long as the loop runs. */
+    /** Logs the counters now and then again at each interval, for as long as the loop runs. */
     void start() {
         // During a shutdown the lag is logged with each of its steps.
         double lag = components.isShuttingDown() ? 0 : components.loop.lag().takeMaxLag();
