--- a/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
+++ b/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
@@ -42,16 +42,17 @@
 import portrelay.net.http.WireNames;
 
 /**
- * Operators' HTTP calls, one to a connection, each answered once what it asks for is in force. Owns its connections,
- * apart from those of clients; under pressure, callers that send nothing or half a call are evicted. All methods run on
- * the event loop but {@link #listen} and {@link #address}, which may be called from any thread.
+ * Serves operator calls over HTTP, one call per connection. Each call is answered once its change is in effect. The
+ * connections are managed separately from those of clients; when they run short, connections that have sent no call or
+ * an incomplete one are evicted. All methods must be called on the event loop, except {@link #listen} and
+ * {@link #address}, which may be called from any thread.
  */
 public final class AdminEndpoint implements HttpHandler {
 
     private static final int BACKLOG = 1024;
     private static final int MAX_HEADER_BYTES = 8 * 1024;
     private static final int REQUEST_TIMEOUT_MS = 3000;
-    /** No call reuses a connection, so no idle one is kept; silent and sending ones may keep most places. */
+    /** Connections are not reused, so none is kept idle; silent and sending ones may use most of the capacity. */
     private static final ConnectionCapacityConfig CONNECTION_CAPACITY = new ConnectionCapacityConfig(
             /* firstByteTimeout= */ 0.25,
             /* sendTimeout= */ 3,
@@ -69,7 +70,7 @@
     private final DiscoveryActor discovery;
     private final LoadBalancerActor loadBalancer;
     private final ClientFrontend frontend;
-    /** Null where nothing is handed over. */
+    /** Null if handover is disabled. */
     private final HandoverService handover;
 
     private final HttpOpenListener http;
@@ -78,10 +79,10 @@
     private boolean isReady;
 
     /**
-     * Listens once {@link #listen} is called.
+     * Creates the endpoint; it accepts calls once {@link #listen} is called.
      *
-     * @param maxConnections that operators may hold
-     * @param handover null where nothing is handed over
+     * @param maxConnections the maximum number of open operator connections
+     * @param handover null if handover is disabled
      */
     public AdminEndpoint(
             EventLoop loop,
@@ -114,9 +115,9 @@
     }
 
     /**
-     * Accepts calls at that address from here on.
+     * Starts to accept calls at the given address.
      *
-     * @throws IOException names the setting and the address
+     * @throws IOException if the address cannot be bound; names the setting and the address
      */
     public void listen(XnioWorker worker, InetSocketAddress address) throws IOException {
         try {
@@ -135,12 +136,12 @@
         listener.resumeAccepts();
     }
 
-    /** Where it listens, with the port that the system chose where the configuration says 0. */
+    /** Returns the bound address, with the port chosen by the system if the configured port is 0. */
     public InetSocketAddress address() {
         return listener.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** Whether this process serves, whether or not operators took it out of service. */
+    /** Sets whether this process is ready to serve, regardless of whether operators have taken it out of service. */
     public void setReady(boolean isReady) {
         this.isReady = isReady;
     }
@@ -207,7 +208,7 @@
     private void setDisabled(HttpServerExchange exchange, String escapedId, String verb) {
         String id;
         try {
-            // In a path, unlike in a form, a plus stands for itself.
+            // Unlike in form data, a plus sign in a path is literal.
             id = URLDecoder.decode(escapedId.replace("+", "%2B"), UTF_8);
         } catch (IllegalArgumentException e) {
             answer(exchange, StatusCodes.BAD_REQUEST, "an id that is not well escaped");
@@ -230,7 +231,7 @@
         });
     }
 
-    /** Whether the call has this method; one that has another is answered. */
+    /** Returns whether the call uses the given method; answers it with status 405 otherwise. */
     private boolean isAllowed(HttpServerExchange exchange, HttpString method) {
         if (exchange.getRequestMethod().equals(method)) {
             return true;
@@ -240,7 +241,7 @@
         return false;
     }
 
-    /** Does not wait for the request's body. */
+    /** Answers the call without waiting for the request body. */
     private void answer(HttpServerExchange exchange, int status, String text) {
         connections.phaseChanged((HttpServerConnection) exchange.getConnection(), ConnectionCapacity.Phase.ANSWERING);
         exchange.setStatusCode(status);
--- a/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
+++ b/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
@@ -22,9 +22,9 @@
 import portrelay.settings.Settings;
 
 /**
- * Drives the {@link AdmissionController}: owns the requests that are queued, hands the load balancer those that are
- * admitted and answers those that are rejected. Decides nothing itself. The controller is entered by this actor's
- * mailbox alone, so never while it is deciding.
+ * Drives the {@link AdmissionController}: owns the queued requests, passes admitted ones to the load balancer and
+ * answers rejected ones, without any decisions of its own. The controller is only called from this actor's mailbox, so
+ * calls to it never nest.
  */
 public final class AdmissionActor implements AdmissionActions {
 
@@ -35,12 +35,12 @@
     private final AdmissionConfig config;
     private final LoadBalancerActor loadBalancer;
     private final AdmissionController controller;
-    /** Those that have arrived and are neither admitted nor rejected. */
+    /** The requests that are neither admitted nor rejected yet. */
     private final Map<RequestId, IncomingRequest> queued = new HashMap<>();
-    /** Requests rejected up to the last {@link #logCounters}. */
+    /** The number of rejected requests at the last call of {@link #logCounters}. */
     private long loggedRejections;
 
-    /** @param seed of the controller's random draws */
+    /** @param seed the seed of the controller's random number generator */
     public AdmissionActor(
             EventLoop loop,
             Log log,
@@ -59,15 +59,15 @@
     }
 
     /**
-     * A request has come; its responder is told of the result.
+     * Accepts a request, whose result is passed to its responder.
      *
-     * @param clientAddress null where the client has none, as in the warm-up
+     * @param clientAddress null if the client has no address, as in the warm-up
      */
     public void requestArrived(IncomingRequest incoming, InetAddress clientAddress) {
         mailbox.post(() -> handleArrival(incoming, clientAddress));
     }
 
-    /** The client of a request, queued or admitted, waits for its response no more. */
+    /** Reports that the client of a queued or admitted request has left. */
     public void clientLeft(RequestId id) {
         mailbox.post(() -> {
             if (controller.isQueued(id)) {
@@ -80,12 +80,15 @@
         });
     }
 
-    /** Rejects what is queued, and what still arrives. */
+    /** Rejects all queued requests and all that arrive later. */
     public void close() {
         mailbox.post(() -> controller.close(loop.now()));
     }
 
-    /** A line for each tenant, where requests were rejected since the last call; counts are since the start. */
+    /**
+     * Logs a line of counters for each tenant if any request was rejected since the last call. The counters are totals
+     * since the start.
+     */
     public void logCounters() {
         Map<TenantId, TenantCounters> byTenant = controller.countersByTenant();
         long rejections =
@@ -117,7 +120,10 @@
                         arrival.retriedByClient()));
     }
 
-    /** Headers count towards what a queued request holds: they may be many times as long as its body. */
+    /**
+     * Returns the size of the headers. It counts towards the memory of a queued request, as headers may be many times
+     * as long as the body.
+     */
     private static int headerBytes(IncomingRequest incoming) {
         int sum = 0;
         for (HeaderValues header : incoming.headers()) {
@@ -148,7 +154,10 @@
         }
     }
 
-    /** Not passed on before its time: the controller asks once for each time, and an early wake-up would use it up. */
+    /**
+     * Reschedules a wake-up that is early: the controller requests each wake-up only once, and would lose it if it were
+     * called before its time.
+     */
     private void wakeUp(double time) {
         if (loop.now() < time) {
             wakeUpAt(time);
@@ -157,7 +166,7 @@
         }
     }
 
-    // ---- What the controller decides --------------------------------------------------------------------
+    // ---- Decisions of the controller --------------------------------------------------------------------
 
     @Override
     public void admit(RequestId request) {
@@ -180,7 +189,7 @@
         return loadBalancer.hasCapacity();
     }
 
-    /** Passes on the response to an admitted request and tells the controller, whose capacity it frees. */
+    /** Forwards the answer to an admitted request, and reports to the controller that its capacity is free. */
     private final class AdmittedResponder implements IncomingRequest.Responder {
 
         private final RequestId id;
--- a/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
+++ b/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
@@ -24,15 +24,15 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Tells the {@link LoadBalancer} what happens and owns the open requests. All methods are called on the event loop;
- * those that change something return at once and take effect by the mailbox.
+ * Passes events to the {@link LoadBalancer} and owns the open requests. All methods must be called on the event loop;
+ * methods that change state only post a task to the mailbox and return at once.
  */
 public final class LoadBalancerActor implements UpstreamActor.Listener {
 
-    /** Follows the endpoint list. */
+    /** Watches the endpoint list. */
     public interface Watch {
 
-        /** Asks discovery for changes from now on, unless it is being asked. */
+        /** Starts watching discovery for changes, unless a call to discovery is outstanding. */
         void watch();
     }
 
@@ -45,15 +45,15 @@
     private final LoadBalancer loadBalancer;
     private Runnable onCapacityChanged = () -> {};
 
-    /** For a process that never shuts down. */
+    /** Creates the actor for a process that never shuts down. */
     public LoadBalancerActor(EventLoop loop, Log log, Function<LoadBalancerActions, LoadBalancer> factory) {
         this(loop, log, Shutdown.never(), factory);
     }
 
     /**
-     * For a process that shuts down as the given object says.
+     * Creates the actor for a process with the given shutdown schedule.
      *
-     * @param factory makes the load balancer whose decisions the given actions carry out
+     * @param factory creates the load balancer, whose decisions are carried out by the given actions
      */
     public LoadBalancerActor(
             EventLoop loop, Log log, Shutdown shutdown, Function<LoadBalancerActions, LoadBalancer> factory) {
@@ -66,48 +66,55 @@
     }
 
     /**
-     * Called once, before the mailbox has run anything: what was posted before, as the cached endpoint list, is taken
-     * in first.
+     * Starts the load balancer. Must be called once, before the mailbox has run any task. Tasks posted before this
+     * call, such as the cached endpoint list, are applied before the load balancer starts.
      *
-     * @param peers null where sidecars exchange no messages
+     * @param peers null if sidecars exchange no messages
      */
     public void start(Watch watch, PeerActor peers) {
         actions.start(watch, peers);
         mailbox.post(() -> loadBalancer.start(loop.now()));
     }
 
-    /** From here on called whenever there may be capacity for another request. */
+    /** Sets the listener that is called whenever there may be capacity for another request. */
     public void onCapacityChanged(Runnable listener) {
         onCapacityChanged = listener;
     }
 
     /**
-     * From here on no attempt is written once this many seconds have passed since the first attempt of its request that
-     * may have been executed. Guards against a duplicate execution once upstreams have forgotten the idempotency key.
+     * Sets the deduplication window of each request. No attempt is written once this many seconds have passed since the
+     * first attempt of its request that may have been executed. Guards against a duplicate execution after upstreams
+     * have discarded the idempotency key.
      */
     public void setDeduplicationWindows(ToDoubleFunction<RequestArrival> windowSeconds) {
         actions.deduplicationWindowSeconds = windowSeconds;
     }
 
+    /** Returns whether the load balancer has capacity for another request now. */
     public boolean hasCapacity() {
         return loadBalancer.hasCapacity(loop.now());
     }
 
-    /** Open requests: those without an answer, and answered ones with an attempt that still runs. */
+    /** Returns the number of requests that are unanswered, or answered with an attempt still running. */
     public int openCount() {
         return openRequests.count();
     }
 
-    /** The request's responder gets one answer, unless its client leaves before. */
+    /** Accepts a request. Its responder receives exactly one answer, unless the client leaves first. */
     public void requestArrived(IncomingRequest incoming) {
         mailbox.post(() -> arrived(incoming));
     }
 
+    /** Reports that the client of a request has left. Has no effect if the request is answered or not open. */
     public void clientLeft(RequestId id) {
         mailbox.post(() -> left(id));
     }
 
-    /** A message from another sidecar, by its number. */
+    /**
+     * Reports a message from another sidecar.
+     *
+     * @param from the number of the sending sidecar
+     */
     public void peerMessageReceived(int from, String text) {
         mailbox.post(() -> loadBalancer.peerMessageReceived(loop.now(), from, text));
     }
@@ -118,10 +125,10 @@
     }
 
     /**
-     * The endpoint list has changed.
+     * Reports a change of the endpoint list, or that an update has failed.
      *
      * @param added upstreams that were not listed before
-     * @param gone those that are no longer listed: nothing more is sent to them, what runs there ends by itself
+     * @param gone upstreams that are no longer listed; no new attempts are sent to them, running ones may finish
      */
     public void endpointsUpdated(
             EndpointUpdate update,
@@ -137,9 +144,9 @@
     }
 
     /**
-     * Operators disable an upstream, or enable it again.
+     * Disables an upstream, or enables it again, for an operator call.
      *
-     * @param onApplied called once no request goes there any longer, or may again
+     * @param onApplied called once the change is in effect
      */
     public void setDisabled(UpstreamId id, boolean isDisabled, Runnable onApplied) {
         mailbox.post(() -> {
@@ -154,8 +161,8 @@
     }
 
     /**
-     * The process ends: each request that waits gets its final answer now. It is rejected, which tells the client that
-     * a retry is safe, only where no attempt may have been executed.
+     * Answers all unanswered requests, as the process is about to end. A request is rejected, which tells the client
+     * that a retry is safe, only if none of its attempts may have been executed; otherwise it fails.
      */
     public void failOpenRequests() {
         if (openRequests.count() > 0) {
@@ -188,7 +195,8 @@
         if (incoming.requestBody() == null) {
             startDeadlineTimer(request, leftSeconds);
         } else {
-            // The time to the deadline counts from the body's last byte: until it is sent on, the client may be late.
+            // The time to the deadline runs from when the last byte of the body is forwarded, as the client may send
+            // the body slowly.
             incoming.requestBody()
                     .onWritten(() -> mailbox.post(() -> startDeadlineTimer(
                             request, Math.min(leftSeconds, shutdown.answerDeadline() - loop.now()))));
@@ -200,14 +208,14 @@
         request.deadlineTimer = loop.schedule(seconds, () -> mailbox.post(() -> deadlineReached(request)));
     }
 
-    /** Ends the attempts that run; the load balancer learns of each as timed out, and answers. */
+    /** Ends the running attempts as timed out. The load balancer is notified of each, and answers the request. */
     private void deadlineReached(OpenRequest request) {
         if (request.runningAttempts == 0 && !request.isAnswered) {
-            // The load balancer's own wake-up for this request may be due in this very moment too.
+            // The load balancer's own wake-up for this request may be due at the same time.
             loadBalancer.wakeUp(loop.now());
         }
         if (request.runningAttempts == 0 && !request.isAnswered) {
-            // Guards the client against a load balancer that waits for an event that will not come.
+            // Ensures an answer even if the load balancer waits for an event that will not occur.
             log.warn("request open at its deadline with no attempt running");
             loadBalancer.clientLeft(loop.now(), request.id());
             actions.fail(request.id());
@@ -224,7 +232,8 @@
         loadBalancer.clientLeft(loop.now(), id);
         if (request.incoming.requestBody() != null
                 && !request.incoming.requestBody().written()) {
-            // The rest of the body will not come: cancelled even where the settings allow no cancelling of attempts.
+            // The rest of the body will not arrive, so cancel even if the settings do not allow attempts to be
+            // cancelled.
             request.cancelAttempts(Outcome.CANCELLED);
         }
         onCapacityChanged.run();
@@ -238,7 +247,7 @@
         if (outcome != Outcome.SERVED
                 && !request.isAnswered
                 && request.incoming.responder().isOver()) {
-            // Before the load balancer hears of the attempt: it would retry for a client that has left.
+            // Must precede the report of this attempt: the load balancer would retry for a client that has left.
             left(id);
         }
         if (outcome.provablyNotExecuted) {
@@ -258,7 +267,7 @@
         try {
             loadBalancer.attemptEnded(now, id, attempt.index(), outcome, isAnswered, null);
         } finally {
-            // Guards the client against an exception in the load balancer: at the deadline it has its answer.
+            // Ensures an answer at the deadline even if the load balancer throws an exception.
             if (request.runningAttempts == 0
                     && now >= request.incoming.arrival().deadline()) {
                 actions.fail(id);
--- a/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
+++ b/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
@@ -9,23 +9,22 @@
 import portrelay.net.upstream.IncomingRequest;
 import portrelay.net.upstream.UpstreamActor;
 
-/** A request that waits for its answer or has an attempt that still runs. */
+/** A request that is unanswered or has a running attempt. */
 final class OpenRequest {
 
     final IncomingRequest incoming;
-    /** The upstream of each attempt, by the attempt's index. */
+    /** The upstream of each attempt, by attempt index. */
     final List<UpstreamActor> sentTo = new ArrayList<>(2);
 
     int runningAttempts;
     boolean isAnswered;
     /**
-     * Ends every attempt that still runs at the deadline. Guards against attempts that outlive an answered request:
-     * where attempts may not be cancelled, nothing else ends them. Null until the whole body of a streamed request was
-     * sent.
+     * Ends every attempt that is still running at the deadline, also after the request was answered: if attempts may
+     * not be cancelled, nothing else ends them. Null until the whole body of a streamed request has been sent.
      */
     XnioExecutor.Key deadlineTimer;
 
-    /** When each attempt was sent, by its index; NaN once it provably was not executed. */
+    /** When each attempt was sent, by attempt index; NaN if the attempt was provably not executed. */
     private final List<Double> sentAt = new ArrayList<>(2);
 
     OpenRequest(IncomingRequest incoming) {
@@ -48,7 +47,7 @@
         sentAt.set(index, Double.NaN);
     }
 
-    /** When the first attempt was sent that may have been executed; infinite where there is none. */
+    /** Returns when the first attempt that may have been executed was sent; positive infinity if there is none. */
     double firstPossiblyExecutedAt() {
         for (double time : sentAt) {
             if (!Double.isNaN(time)) {
--- a/daemon/src/main/java/portrelay/net/balancer/OpenRequests.java
+++ b/daemon/src/main/java/portrelay/net/balancer/OpenRequests.java
@@ -5,34 +5,34 @@
 import java.util.Map;
 import portrelay.model.RequestId;
 
-/** The requests that are open: each is one until it is answered and its last attempt has ended. */
+/** The open requests. A request is open until it is answered and its last attempt has ended. */
 final class OpenRequests {
 
     private final Map<RequestId, OpenRequest> byId = new HashMap<>();
 
-    /** False where a request of this id is open. */
+    /** Adds a request; returns false, without adding it, if a request with the same id is open. */
     boolean add(OpenRequest request) {
         return byId.putIfAbsent(request.id(), request) == null;
     }
 
-    /** Null where it is not open. */
+    /** Returns the request, or null if it is not open. */
     OpenRequest get(RequestId id) {
         return byId.get(id);
     }
 
-    /** Null where it is not open, or answered. */
+    /** Returns the request, or null if it is not open or is already answered. */
     OpenRequest unanswered(RequestId id) {
         OpenRequest request = byId.get(id);
         return request == null || request.isAnswered ? null : request;
     }
 
-    /** The answer is given, or nobody waits for it any longer. */
+    /** Marks a request as answered: it has been answered, or its client has left. */
     void answered(OpenRequest request) {
         request.isAnswered = true;
         removeIfDone(request);
     }
 
-    /** Answered requests that have an attempt running count too. */
+    /** Returns the number of open requests, including answered ones with a running attempt. */
     int count() {
         return byId.size();
     }
--- a/daemon/src/main/java/portrelay/net/balancer/SocketActions.java
+++ b/daemon/src/main/java/portrelay/net/balancer/SocketActions.java
@@ -16,7 +16,7 @@
 import portrelay.net.upstream.AttemptId;
 import portrelay.net.upstream.UpstreamActor;
 
-/** Carries out over sockets what the load balancer decides. */
+/** Carries out the load balancer's decisions over sockets. */
 final class SocketActions implements LoadBalancerActions {
 
     private final EventLoop loop;
@@ -24,17 +24,17 @@
     private final Mailbox mailbox;
     private final OpenRequests openRequests;
     private final DoubleConsumer onWakeUp;
-    /** The upstreams that are listed; {@link LoadBalancerActor} keeps them. */
+    /** The listed upstreams, maintained by {@link LoadBalancerActor}. */
     final Map<UpstreamId, UpstreamActor> upstreams = new HashMap<>();
 
-    /** Set by {@link LoadBalancerActor#setDeduplicationWindows}; infinite where upstreams forget no key. */
+    /** Set by {@link LoadBalancerActor#setDeduplicationWindows}; infinite if upstreams never discard a key. */
     ToDoubleFunction<RequestArrival> deduplicationWindowSeconds = arrival -> Double.POSITIVE_INFINITY;
 
     private LoadBalancerActor.Watch watch;
-    /** Null where sidecars exchange no messages. */
+    /** Null if sidecars exchange no messages. */
     private PeerActor peers;
 
-    /** @param onWakeUp called in the mailbox with the time, never before the time that was asked for */
+    /** @param onWakeUp called in the mailbox with the current time, never before the requested time */
     SocketActions(EventLoop loop, Log log, Mailbox mailbox, OpenRequests openRequests, DoubleConsumer onWakeUp) {
         this.loop = loop;
         this.log = log;
@@ -43,7 +43,7 @@
         this.onWakeUp = onWakeUp;
     }
 
-    /** @param peers null where sidecars exchange no messages */
+    /** @param peers null if sidecars exchange no messages */
     void start(LoadBalancerActor.Watch watch, PeerActor peers) {
         this.watch = watch;
         this.peers = peers;
@@ -53,7 +53,7 @@
     public void sendAttempt(RequestId id, UpstreamId upstreamId) {
         OpenRequest request = openRequests.get(id);
         UpstreamActor upstream = upstreams.get(upstreamId);
-        // Guards against a duplicate execution: the decision was in time, but a connect may outlast the window.
+        // Guards against a duplicate execution: a connect may take longer than the rest of the deduplication window.
         double sendBefore = request.firstPossiblyExecutedAt()
                 + deduplicationWindowSeconds.applyAsDouble(request.incoming.arrival());
         AttemptId attempt = request.addAttempt(upstream, loop.now());
@@ -128,7 +128,7 @@
         log.info(text);
     }
 
-    /** Never early: the load balancer drops a wake-up that comes before its time. */
+    /** Reschedules a wake-up that is early, as the load balancer ignores a wake-up before its time. */
     private void wakeUp(double time) {
         double now = loop.now();
         if (now < time) {
@@ -138,8 +138,9 @@
         }
     }
 
-    /** The platform's protocol has no load probe, and does not say which connections an upstream drops. */
+    /** The platform's protocol has no load probes, and does not report which connections an upstream drops. */
     private static UnsupportedOperationException notOverSockets() {
-        return new UnsupportedOperationException("the load balancer was told that sockets do not offer this");
+        return new UnsupportedOperationException(
+                "not supported over sockets; the load balancer is configured not to use it");
     }
 }
--- a/daemon/src/main/java/portrelay/net/balancer/package-info.java
+++ b/daemon/src/main/java/portrelay/net/balancer/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Runs the decisions of {@code portrelay.policy} over sockets: turns what happens into events for them, and carries out
- * what they decide. Decides nothing itself. Knows {@code upstream}, {@code peer}, {@code connection} and
+ * Connects the load balancer of {@code portrelay.policy} to sockets: passes it events and carries out its decisions,
+ * without any decisions of its own. Depends on {@code upstream}, {@code peer}, {@code connection} and
  * {@code eventloop}.
  *
- * <p>Everything runs on the event loop. Times are seconds as double on its clock.
+ * <p>All code runs on the event loop. Times are seconds as {@code double} on its clock.
  */
 package portrelay.net.balancer;
--- a/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
+++ b/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
@@ -33,18 +33,21 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Keeps one watch of the endpoint list going: owns the connections to discovery and carries out the calls that
- * {@link WatchCalls} decides on.
+ * Watches the endpoint list: owns the connections to discovery and performs the calls that {@link WatchCalls} decides
+ * on. All methods must be called on the event loop.
  */
 public final class DiscoveryActor implements LoadBalancerActor.Watch, WatchCalls.Actions {
 
     private static final int MAX_LIST_BYTES = 4 * 1024 * 1024;
-    /** Of no list yet, or of one that later changes do not apply to: the next call fetches the complete list. */
+    /**
+     * The version while there is no list, or one that incremental changes cannot be applied to. The next call then
+     * fetches the complete list.
+     */
     private static final long NO_VERSION = -1;
 
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
 
-    /** A call that is outstanding: it waits for a connect, or has a connection. */
+    /** An outstanding call: it is waiting for a connect, or has a connection. */
     private static final class OutstandingCall {
         private Connector.ConnectAttempt connectAttempt;
         private HttpConnection connection;
@@ -60,15 +63,15 @@
     private final Map<Integer, OutstandingCall> outstanding = new HashMap<>();
     private InetSocketAddress address;
     private long version = NO_VERSION;
-    /** The connection that the last answer came on, until the next call takes it. */
+    /** The connection of the last answered call, until the next call reuses it; null if there is none. */
     private HttpConnection idleConnection;
 
     private boolean isFailing;
 
     /**
-     * Asks nothing before {@link #watch} is called.
+     * Creates the actor; calls to discovery begin with {@link #watch}.
      *
-     * @param upstreamFactory makes the actor of an upstream that is listed for the first time
+     * @param upstreamFactory creates the actor of a newly listed upstream, from its address
      */
     public DiscoveryActor(
             EventLoop loop,
@@ -86,9 +89,9 @@
     }
 
     /**
-     * Until discovery answers, works with the endpoint list that this sidecar last knew.
+     * Loads the cached endpoint list, which is used until discovery answers.
      *
-     * @throws InvalidSettingException names the field that is not in discovery's form
+     * @throws InvalidSettingException if a field is missing or invalid; names the field
      */
     public void loadCached(JsonFields list) throws InvalidSettingException {
         EndpointListPage page = EndpointListPage.read(list);
@@ -105,7 +108,10 @@
         });
     }
 
-    /** Asks another discovery, at once and for its complete list: its versions need not follow the other's. */
+    /**
+     * Switches to discovery at another address. Fetches its complete list at once, as its versions may be unrelated to
+     * those of the previous address.
+     */
     public void setAddress(InetSocketAddress newAddress) {
         mailbox.post(() -> {
             log.info("discovery address changed: address=" + SocketAddresses.text(newAddress));
@@ -117,22 +123,25 @@
         });
     }
 
-    /** Calls back by the mailbox with whether the id was ever listed, as far as that is remembered. */
+    /**
+     * Checks whether an upstream was ever listed, as far as remembered. The result is passed to the callback in the
+     * mailbox.
+     */
     public void wasEverListed(UpstreamId id, Consumer<Boolean> callback) {
         mailbox.post(() -> callback.accept(registry.wasEverListed(id)));
     }
 
     /**
-     * From here on the listener is called with each change: the ids that were ever listed, and the list in discovery's
-     * form. The listener may keep both: nobody changes them any longer.
+     * Sets the listener for changes of the endpoint list. It receives the ids that were ever listed, and the complete
+     * list in discovery's format. The listener may keep both, as they are not modified afterwards.
      *
-     * @param knownIds ids that count as listed before
+     * @param knownIds ids to be treated as listed before
      */
     public void onUpdate(BiConsumer<Set<UpstreamId>, Object> listener, Set<UpstreamId> knownIds) {
         registry.onUpdate(listener, knownIds);
     }
 
-    /** The rows of the list as it stands, in discovery's form. */
+    /** Returns the rows of the current endpoint list in discovery's format. */
     public Collection<Object> endpointRows() {
         return registry.rows();
     }
@@ -141,7 +150,7 @@
     public void beginCall(int callId, double waitSeconds, double timeoutSeconds) {
         OutstandingCall call = new OutstandingCall();
         outstanding.put(callId, call);
-        // After a poll, so that an answer counts that has arrived and was not read yet.
+        // Runs after a poll, so that an answer that has arrived but was not yet read still counts.
         call.timeout = loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> mailbox.post(() -> timedOut(callId))));
         HttpConnection idle = idleConnection;
         idleConnection = null;
@@ -216,14 +225,14 @@
         idleConnection = call.connection;
         watchCalls.answered(callId);
         if (!page.isComplete() && page.version() < version) {
-            // Guards against the changes of an older list: they would undo newer ones, an upstream's drain among them.
+            // Changes of an older list would revert newer ones, such as the draining of an upstream.
             log.warn("discovery version went back: from=" + version + " to=" + page.version());
             version = NO_VERSION;
             callNext();
             return;
         }
         if (!apply(page)) {
-            // Asked for anew after the backoff: without a call no further change would be heard of.
+            // The list is fetched again after the backoff; without another call no further change would be received.
             version = NO_VERSION;
             registry.updateFailed();
             return;
@@ -235,7 +244,7 @@
         callNext();
     }
 
-    /** False, with the fault in the log, where the list could not be taken over whole. */
+    /** Applies the page; logs the exception and returns false if that fails. */
     private boolean apply(EndpointListPage page) {
         try {
             registry.apply(page, page.isComplete() ? EndpointUpdate.COMPLETE : EndpointUpdate.INCREMENTAL);
@@ -247,7 +256,7 @@
         }
     }
 
-    /** Null, with a line in the log, where the answer is no list. */
+    /** Parses the response body; logs a warning and returns null if it is not an endpoint list. */
     private EndpointListPage parse(HttpResult result) {
         try {
             return EndpointListPage.read(JsonFields.of(JsonTree.parse(result.body()), ""));
@@ -268,7 +277,7 @@
         }
     }
 
-    /** Checks the call, as this may arrive after the call was given up. */
+    /** Handles the failure of a call; ignores it if the call was abandoned in the meantime. */
     private void failed(int callId, String reason) {
         if (!watchCalls.isOutstanding(callId)) {
             return;
@@ -280,7 +289,7 @@
             isFailing = true;
             log.warn("discovery does not answer");
         }
-        // The load balancer asks again after its backoff.
+        // The load balancer polls discovery again after its backoff.
         registry.updateFailed();
     }
 
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
@@ -16,26 +16,26 @@
 import portrelay.settings.JsonFields;
 
 /**
- * One answer of discovery: the endpoint list, or what has changed on it.
+ * One response of discovery: the complete endpoint list, or its changes.
  *
- * @param version grows with each change
- * @param isComplete whether it has every endpoint; else it has those that have changed
- * @param rows one for each endpoint, in the order in which they came
+ * @param version increases with each change of the list
+ * @param isComplete whether the page contains all endpoints; otherwise it contains the changed ones
+ * @param rows one row for each endpoint, in the order received
  */
 public record EndpointListPage(long version, boolean isComplete, List<Row> rows) {
 
     /**
-     * One endpoint.
+     * The row of one endpoint.
      *
-     * @param address null where the endpoint is gone
-     * @param tree the row as it came
+     * @param address null if the endpoint is gone
+     * @param tree the row as received, as a JSON object
      */
     record Row(Endpoint endpoint, InetSocketAddress address, Object tree) {}
 
     /**
-     * Reads a list in discovery's form.
+     * Reads an endpoint list in discovery's format.
      *
-     * @throws InvalidSettingException names the first field that is missing or wrong
+     * @throws InvalidSettingException if a field is missing or invalid; names the first such field
      */
     public static EndpointListPage read(JsonFields page) throws InvalidSettingException {
         List<Row> rows = new ArrayList<>();
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointRegistry.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointRegistry.java
@@ -20,21 +20,21 @@
 import portrelay.net.upstream.UpstreamActor;
 
 /**
- * The endpoint list as this sidecar knows it: owns the actor of each listed upstream, and tells the load balancer of
+ * The endpoint list as known to this sidecar: owns the actor of each listed upstream and notifies the load balancer of
  * each change.
  */
 final class EndpointRegistry {
 
-    /** Bounds the ids that are remembered where new ones keep coming. */
+    /** Limits the number of remembered ids if upstreams with new ids keep being listed. */
     private static final int MAX_EVER_LISTED = 4096;
 
     private final Log log;
     private final LoadBalancerActor loadBalancer;
     private final Function<InetSocketAddress, UpstreamActor> upstreamFactory;
     private final Map<UpstreamId, UpstreamActor> upstreams = new HashMap<>();
-    /** In discovery's form. */
+    /** The rows of the listed upstreams, in discovery's format. */
     private final Map<UpstreamId, Object> rows = new HashMap<>();
-    /** The latest last. */
+    /** The remembered ids, most recently listed last. */
     private final Set<UpstreamId> everListed = new LinkedHashSet<>();
 
     private BiConsumer<Set<UpstreamId>, Object> onUpdate = (everListed, list) -> {};
@@ -46,7 +46,7 @@
         this.upstreamFactory = upstreamFactory;
     }
 
-    /** See {@link DiscoveryActor#onUpdate}. */
+    /** Sets the listener for changes, see {@link DiscoveryActor#onUpdate}. */
     void onUpdate(BiConsumer<Set<UpstreamId>, Object> listener, Set<UpstreamId> knownIds) {
         onUpdate = listener;
         knownIds.forEach(this::remember);
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Takes the page over; where an id stands on it twice, the last row counts. After an exception a complete list has
-     * to follow.
+     * Applies a page. If an id occurs on it more than once, the last row counts. After an exception, the next page must
+     * be a complete list.
      */
     void apply(EndpointListPage page, EndpointUpdate update) {
         List<Endpoint> changed = new ArrayList<>();
         Map<UpstreamId, UpstreamActor> added = new HashMap<>();
-        // What is not on a complete list is gone: rows take back those that are on it.
+        // With a complete list, all known upstreams count as gone until a row lists them.
         Set<UpstreamId> gone =
                 update == EndpointUpdate.INCREMENTAL ? new HashSet<>() : new HashSet<>(upstreams.keySet());
         try {
@@ -75,7 +75,7 @@
                 apply(row, changed, added, gone);
             }
         } catch (RuntimeException e) {
-            // The load balancer has not heard of them: they count as added on a later page.
+            // The load balancer has not been notified of these upstreams, so they must count as added on a later page.
             upstreams.keySet().removeAll(added.keySet());
             throw e;
         }
@@ -95,7 +95,7 @@
         loadBalancer.endpointsUpdated(update, changed, added, gone);
     }
 
-    /** No row has changed: discovery could not be asked. */
+    /** Reports to the load balancer that no update was received or applied. */
     void updateFailed() {
         loadBalancer.endpointsUpdated(EndpointUpdate.FAILED, List.of(), Map.of(), Set.of());
     }
--- a/daemon/src/main/java/portrelay/net/peer/PeerActor.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerActor.java
@@ -19,28 +19,29 @@
 import portrelay.net.eventloop.Mailbox;
 
 /**
- * Messages to and from other sidecars: owns the one UDP socket. Nothing waits for it: what can't be sent at once is
- * dropped, as the network may drop it too. Only messages from configured peers that have the protocol's form (printable
- * ASCII of a limited length) reach the listener; the others are counted. All methods are called on the event loop.
+ * Sends messages to other sidecars and receives theirs over a single UDP socket. Messages are never queued: a message
+ * that can't be sent at once is dropped, as the network may drop it too. Only messages that come from configured peers
+ * and have the protocol's format (printable ASCII of limited length) are passed to the listener; others are counted and
+ * dropped. All methods must be called on the event loop.
  */
 public final class PeerActor {
 
-    /** Called on the event loop. */
+    /** Receives messages, on the event loop. */
     public interface MessageListener {
 
         /**
-         * A message has arrived.
+         * Handles a received message.
          *
-         * @param from the number of the sidecar that sent it
+         * @param from the number of the sending sidecar
          */
         void messageReceived(int from, String text);
     }
 
-    /** As the platform's protocol has it. */
+    /** The maximum length of a message in the platform's protocol. */
     private static final int MAX_MESSAGE_BYTES = 256;
-    /** The one control character of ASCII that lies behind the printable ones. */
+    /** The only ASCII control character above the printable characters. */
     private static final byte DELETE = 0x7f;
-    /** Messages that one task reads; then clients and upstreams have their turn. */
+    /** How many messages one task reads at most, so that clients and upstreams are served in between. */
     private static final int MAX_RECEIVED_AT_ONCE = 64;
 
     private static final double REBIND_INTERVAL_SECONDS = 1;
@@ -53,7 +54,7 @@
     private final int sidecarCount;
     private final MessageListener listener;
     private final Map<SocketAddress, Integer> sidecarByAddress = new HashMap<>();
-    /** One byte longer than the longest message, so that one that is too long shows. */
+    /** One byte longer than the maximum message, so that messages that are too long can be detected. */
     private final ByteBuffer received = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
 
     private final ByteBuffer sending = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES);
@@ -62,7 +63,7 @@
     private MulticastMessageChannel channel;
 
     private boolean isClosed;
-    /** Whether a failed bind has been logged. */
+    /** Whether a failed bind has been logged; later failures are not logged. */
     private boolean hasBindFailed;
 
     private long fromStrangers;
@@ -70,9 +71,9 @@
     private long notSent;
 
     /**
-     * Binds once {@link #start} is called.
+     * Creates the actor; the socket is bound by {@link #start}.
      *
-     * @param sidecarCount so many of the addresses, from the first on, are sidecars
+     * @param sidecarCount how many of the addresses, from the first on, are in use by sidecars
      */
     public PeerActor(
             EventLoop loop,
@@ -93,17 +94,19 @@
         }
     }
 
-    /** Binds the address; while it is taken, as by the previous process, tries again at an interval. */
+    /**
+     * Binds the socket. Retries at an interval while that fails, as when the previous process still uses the address.
+     */
     public void start() {
         mailbox.post(this::bind);
     }
 
-    /** Whether the address is bound: before, nothing is sent. */
+    /** Returns whether the socket is bound. Until then messages are dropped. */
     public boolean isBound() {
         return channel != null;
     }
 
-    /** Does nothing where the number is no sidecar's. */
+    /** Sends a message to the sidecar with the given number; does nothing if there is no such sidecar. */
     public void send(int sidecar, String text) {
         mailbox.post(() -> {
             if (sidecar >= 0 && sidecar < sidecarCount) {
@@ -112,7 +115,7 @@
         });
     }
 
-    /** To all sidecars, this one among them. */
+    /** Sends a message to all sidecars, including this one. */
     public void broadcast(String text) {
         mailbox.post(() -> {
             if (addresses.broadcast() != null) {
@@ -125,7 +128,7 @@
         });
     }
 
-    /** For the log: what was dropped since the start; null where nothing was. */
+    /** Returns a log line with the number of messages dropped since the start, or null if none were dropped. */
     public String droppedMessagesLine() {
         return fromStrangers + unreadable + notSent == 0
                 ? null
@@ -133,6 +136,7 @@
                         + notSent;
     }
 
+    /** Closes the socket and ends any retries of its bind. */
     public void close() {
         mailbox.post(() -> {
             isClosed = true;
@@ -169,7 +173,7 @@
             try {
                 isSent = channel.sendTo(address, sending);
             } catch (IOException e) {
-                // Counted, as if the network had lost it.
+                // Counted as not sent, like a message that the network has lost.
             }
         }
         notSent += isSent ? 0 : 1;
@@ -189,7 +193,11 @@
         }
     }
 
-    /** Passes on what was received. {@code sidecar} is null where the sender is no peer. */
+    /**
+     * Passes the received message to the listener, or counts it as dropped.
+     *
+     * @param sidecar the number of the sender; null if the sender is not a peer
+     */
     private void deliver(Integer sidecar) {
         received.flip();
         if (sidecar == null) {
--- a/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
@@ -9,18 +9,19 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Where messages between sidecars are received and sent, as the platform's protocol defines it.
+ * The addresses that sidecars use to exchange messages, as defined by the platform's protocol.
  *
- * @param listen where this sidecar receives
- * @param sidecars the address of each sidecar at its number, this one's among them; not empty
- * @param broadcast reaches all sidecars; null where there is no such address
+ * @param listen the address at which this sidecar receives messages
+ * @param sidecars the address of each sidecar, including this one, indexed by its number; not empty
+ * @param broadcast the address that reaches all sidecars; null if there is none
  */
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> sidecars, InetSocketAddress broadcast) {
 
     /**
-     * From the configuration's root; null where it lacks the own address or the others'.
+     * Reads the addresses from the root of the configuration. Returns null if it lacks the address of this sidecar or
+     * those of the sidecars.
      *
-     * @throws InvalidSettingException names the first address that is wrong
+     * @throws InvalidSettingException if an address is invalid; names the first such address
      */
     public static PeerAddresses read(JsonFields root) throws InvalidSettingException {
         if (!root.has(WireNames.PEER_LISTEN) || !root.has(WireNames.PEERS)) {
--- a/daemon/src/main/java/portrelay/net/peer/package-info.java
+++ b/daemon/src/main/java/portrelay/net/peer/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Sends and receives the datagrams between sidecars; what they mean is decided by {@code portrelay.gossip}. Knows
+ * Sends and receives the datagrams between sidecars; their content is defined by {@code portrelay.gossip}. Depends on
  * {@code http} and {@code eventloop}.
  *
- * <p>Everything runs on the event loop. Times are seconds as double on its clock.
+ * <p>All code runs on the event loop. Times are seconds as {@code double} on its clock.
  */
 package portrelay.net.peer;
--- a/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
@@ -8,16 +8,16 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.Mailbox;
 
-/** The idle connections to one upstream, the newest first. Closes each before the upstream would. */
+/** The idle connections to one upstream, most recently used first. Closes each before the upstream would close it. */
 final class IdleConnections {
 
     /**
-     * How long a connection is idle before it is used again. Guards against an upstream that answers a request twice,
-     * some milliseconds apart: on a connection in use again, the second answer would go to the next request.
+     * How long a connection must be idle before it is reused. Guards against an upstream that answers a request twice,
+     * some milliseconds apart: on a reused connection, the second response would be taken for that of the next request.
      */
     private static final double MIN_IDLE_SECONDS = 0.01;
 
-    /** An idle connection is closed late by at most the timeout divided by this. */
+    /** Sweeps in each timeout. An idle connection is closed late by at most the timeout divided by this number. */
     private static final int SWEEPS_PER_TIMEOUT = 4;
 
     private record Idle(HttpConnection connection, double since) {}
@@ -29,7 +29,7 @@
     private final Deque<Idle> newestFirst = new ArrayDeque<>();
     private boolean isSweepScheduled;
 
-    /** @param timeoutSeconds after which an idle connection is closed; 0 for never */
+    /** @param timeoutSeconds how long a connection may be idle before it is closed; 0 for no limit */
     IdleConnections(EventLoop loop, Mailbox mailbox, Connector connector, double timeoutSeconds) {
         this.loop = loop;
         this.mailbox = mailbox;
@@ -43,7 +43,7 @@
         scheduleSweep();
     }
 
-    /** The newest one that may be written to now; null where there is none. */
+    /** Removes and returns the most recently used connection that can be written to now, or null if there is none. */
     HttpConnection poll() {
         for (HttpConnection newest = pollRested(); newest != null; newest = pollRested()) {
             connector.inUse(newest);
@@ -64,7 +64,7 @@
         }
     }
 
-    /** The newest one that has been idle for long enough, no longer among these; null where there is none. */
+    /** Removes and returns the most recently used connection past the minimum idle time, or null if there is none. */
     private HttpConnection pollRested() {
         for (Iterator<Idle> iterator = newestFirst.iterator(); iterator.hasNext(); ) {
             Idle idle = iterator.next();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Closes what has been idle for the timeout. Guards against a request that crosses the upstream's close: it may
-     * have been executed, and can't be retried.
+     * Closes connections that have been idle for the timeout. Guards against a request that is sent while the upstream
+     * closes the connection: the request may have been executed, and can't be retried.
      */
     private void sweep() {
         isSweepScheduled = false;
--- a/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
@@ -7,11 +7,11 @@
 import portrelay.net.connection.RequestBody;
 
 /**
- * A request as it came: what the decisions need of it, and what is forwarded unchanged.
+ * A request as received from a client: the properties used for decisions, and the parts that are forwarded unchanged.
  *
- * @param target the request target as it stood in the request line
- * @param body the whole body; empty where {@code requestBody} has it
- * @param requestBody a streamed body, which can be sent once; null where {@code body} has the whole
+ * @param target the request target exactly as in the request line
+ * @param body the complete body; empty if the body is streamed
+ * @param requestBody the streamed body, which can be sent only once; null if {@code body} is the complete body
  */
 public record IncomingRequest(
         RequestArrival arrival,
@@ -22,31 +22,31 @@
         RequestBody requestBody,
         Responder responder) {
 
-    /** The same request, answered to another responder. */
+    /** Returns a copy of this request that is answered through another responder. */
     public IncomingRequest withResponder(Responder other) {
         return new IncomingRequest(arrival, method, target, headers, body, requestBody, other);
     }
 
-    /** The client's side of a request. At most one of the answers is given, once. */
+    /** Answers a request to its client. At most one of the answering methods is called, at most once. */
     public interface Responder {
 
         /**
-         * Whether nobody waits for an answer any longer: it was given, or the client has left. Looks into the client's
-         * connection for its end, and reports what it finds there.
+         * Returns whether no answer is needed any longer, as it was given or the client has left. Checks whether the
+         * client's connection has been closed, and reports it if so.
          */
         boolean isOver();
 
-        /** The upstream's answer goes to the client. */
+        /** Forwards the upstream's response to the client. */
         void served(HttpResult answer);
 
         /**
-         * The answer says that a retry is safe.
+         * Rejects the request. The response states that a retry is safe.
          *
-         * @param retryAfterSeconds 0 gives no advice
+         * @param retryAfterSeconds the advised delay of a retry; 0 for no advice
          */
         void rejected(double retryAfterSeconds);
 
-        /** The answer does not say whether a retry is safe. */
+        /** Fails the request. The response does not state whether a retry is safe. */
         void failed();
     }
 }
--- a/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
+++ b/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
@@ -20,29 +20,29 @@
 import portrelay.net.http.WireNames;
 
 /**
- * One upstream: owns every connection to it, and reports the end of each attempt exactly once. All methods are called
- * on the event loop, return at once and take effect by the mailbox.
+ * Sends attempts to one upstream: owns all connections to it and reports the end of each attempt exactly once. All
+ * methods must be called on the event loop; they only post a task to the mailbox and return at once.
  */
 public final class UpstreamActor {
 
-    /** Called on the event loop. */
+    /** Receives the ends of attempts, on the event loop. */
     public interface Listener {
 
         /**
-         * The attempt has ended with that outcome.
+         * Reports that an attempt has ended.
          *
-         * @param answer null where there is none
+         * @param answer the upstream's response; null if there is none
          */
         void attemptEnded(AttemptId attempt, Outcome outcome, HttpResult answer);
     }
 
-    /** An attempt that has not ended: it waits for a connect, or has a connection. */
+    /** An attempt that has not ended: it is waiting for a connect, or has a connection. */
     private static final class RunningAttempt {
         private final IncomingRequest request;
-        /** The upstream's address when the attempt was sent; null where the upstream was gone. */
+        /** The upstream's address when the attempt was sent; null if the upstream was no longer listed. */
         private final InetSocketAddress address;
 
-        /** From this time on it is not written. */
+        /** The time from which the attempt may no longer be written. */
         private final double sendBefore;
 
         private Connector.ConnectAttempt connectAttempt;
@@ -70,10 +70,10 @@
     private boolean isDraining;
 
     /**
-     * For an upstream that is listed now.
+     * Creates the actor of a listed upstream.
      *
-     * @param connectTimeoutSeconds 0 for none
-     * @param idleTimeoutSeconds after which an idle connection is closed; 0 for never
+     * @param connectTimeoutSeconds the timeout of a connect; 0 for none
+     * @param idleTimeoutSeconds how long a connection may be idle before it is closed; 0 for no limit
      */
     public UpstreamActor(
             EventLoop loop,
@@ -92,26 +92,26 @@
         idleConnections = new IdleConnections(loop, mailbox, connector, idleTimeoutSeconds);
     }
 
-    /** Sends the attempt on an idle connection, or on a new one; the listener is told of its end. */
+    /** Sends an attempt on an idle connection, or on a new one if none is idle; the listener receives its end. */
     public void sendAttempt(AttemptId id, IncomingRequest request) {
         sendAttempt(id, request, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * As {@link #sendAttempt(AttemptId, IncomingRequest)}, within a deduplication window.
+     * Sends an attempt as {@link #sendAttempt(AttemptId, IncomingRequest)} does, within a deduplication window.
      *
-     * @param sendBefore from this time on the attempt is not written, but ends as not sent
+     * @param sendBefore the time from which the attempt may no longer be written; it then ends as not sent
      */
     public void sendAttempt(AttemptId id, IncomingRequest request, double sendBefore) {
         mailbox.post(() -> send(id, request, sendBefore));
     }
 
-    /** Ends the attempt with that outcome unless it has ended: nobody waits for it any longer. */
+    /** Ends an attempt with the given outcome, as its result is no longer needed. Ignored if it has already ended. */
     public void cancelAttempt(AttemptId id, Outcome outcome) {
         mailbox.post(() -> cancel(id, outcome));
     }
 
-    /** The endpoint list has this for the upstream from here on. */
+    /** Applies a change of the upstream's row in the endpoint list. */
     public void endpointUpdated(InetSocketAddress newAddress, boolean isDraining) {
         mailbox.post(() -> {
             boolean hasMoved = !newAddress.equals(address);
@@ -123,7 +123,7 @@
         });
     }
 
-    /** Operators disable it, or enable it again. */
+    /** Disables the upstream, or enables it again, for an operator call. */
     public void setDisabled(boolean isDisabled) {
         mailbox.post(() -> {
             this.isDisabled = isDisabled;
@@ -133,7 +133,7 @@
         });
     }
 
-    /** It is no longer listed. What runs there ends by itself. */
+    /** Stops using the upstream, which is no longer listed. Attempts that have a connection may finish. */
     public void close() {
         mailbox.post(() -> {
             address = null;
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Closes idle connections and ends attempts that wait for a connect. Guards against a connect that is late: it
-     * would reach an upstream whose drain is over, or an address that is another's by then.
+     * Closes idle connections and ends attempts that are waiting for a connect. A late connect might otherwise reach an
+     * upstream that has finished draining, or an address that belongs to another upstream by then.
      */
     private void stopUsingConnections() {
         idleConnections.closeAll();
@@ -154,7 +154,10 @@
         });
     }
 
-    /** Whether anything may be sent to that address; attempts that were sent before it was out of use meet this too. */
+    /**
+     * Returns whether attempts may be sent to the given address. Also checked for the connections of attempts that were
+     * sent while the address was still in use.
+     */
     private boolean isUsable(InetSocketAddress target) {
         return !isDisabled && !isDraining && target != null && target.equals(address);
     }
@@ -192,14 +195,14 @@
 
     private void write(AttemptId id, RunningAttempt attempt, HttpConnection connection) {
         if (attempt.request.responder().isOver()) {
-            // The client left while the attempt waited for a connection.
+            // The client left while the attempt was waiting for a connection.
             keepIdle(attempt, connection);
             end(id, attempt, Outcome.CANCELLED, null);
             return;
         }
         if (loop.now() >= Math.min(attempt.sendBefore, attempt.request.arrival().deadline())) {
-            // The connect took too long: the upstream may have forgotten the key and execute the request twice, or
-            // nobody waits for the answer.
+            // The connect took too long: the upstream may have discarded the idempotency key and would execute the
+            // request twice, or the request's deadline has passed.
             keepIdle(attempt, connection);
             end(id, attempt, Outcome.NOT_SENT, null);
             return;
@@ -238,10 +241,10 @@
         end(id, attempt, outcome(result), result);
     }
 
-    /** As the platform's protocol defines it. */
+    /** Returns the outcome that the platform's protocol defines for the result. */
     private static Outcome outcome(HttpResult result) {
         return switch (result.status()) {
-            // No complete response came.
+            // No complete response was received.
             case 0 -> result.requestWritten() ? Outcome.CONNECTION_LOST : Outcome.CONNECT_FAILED;
             case StatusCodes.OK -> Outcome.SERVED;
             case StatusCodes.SERVICE_UNAVAILABLE, StatusCodes.GATEWAY_TIME_OUT ->
@@ -264,7 +267,7 @@
         if (attempt.connection != null) {
             attempt.connection.close();
         }
-        // What timed out before it was written was provably not executed.
+        // An attempt that timed out before it was written completely was provably not executed.
         end(id, attempt, outcome == Outcome.TIMED_OUT && !isWritten ? Outcome.CONNECT_FAILED : outcome, null);
     }
 
@@ -274,7 +277,7 @@
         }
     }
 
-    /** Unless the attempt's address, for which the connection was made, is out of use by now: then closes it. */
+    /** Keeps the attempt's connection for reuse; closes it if the address it is connected to is no longer in use. */
     private void keepIdle(RunningAttempt attempt, HttpConnection connection) {
         if (isUsable(attempt.address)) {
             idleConnections.add(connection);
--- a/daemon/src/main/java/portrelay/net/upstream/package-info.java
+++ b/daemon/src/main/java/portrelay/net/upstream/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Sends attempts to upstreams: one actor each, with its connections. Knows {@code connection}, {@code http} and
- * {@code eventloop}.
+ * Sends attempts to upstreams. Each upstream has one actor, which owns the connections to it. Depends on
+ * {@code connection}, {@code http} and {@code eventloop}.
  *
- * <p>Everything runs on the event loop. Times are seconds as double on its clock.
+ * <p>All code runs on the event loop. Times are seconds as {@code double} on its clock.
  */
 package portrelay.net.upstream;
