--- a/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
+++ b/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
@@ -73,7 +73,7 @@
     /** Null if handover is disabled. */
     private final HandoverService handover;
 
-    private final HttpOpenListener http;
+    private final HttpOpenListener httpListener;
     private final LingeringClose lingeringClose;
     private AcceptingChannel<StreamConnection> listener;
     private boolean isReady;
@@ -102,7 +102,7 @@
         connections = new ClientConnections(loop, log, CONNECTION_CAPACITY, new ConnectionCounters());
         connections.setMaxConnections(maxConnections);
         lingeringClose = new LingeringClose(loop, connections, false, LingeringClose.BRIEF);
-        http = new HttpOpenListener(
+        httpListener = new HttpOpenListener(
                 buffers,
                 OptionMap.builder()
                         .set(UndertowOptions.DECODE_URL, false)
@@ -111,7 +111,7 @@
                         .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_TIMEOUT_MS)
                         .set(UndertowOptions.NO_REQUEST_TIMEOUT, REQUEST_TIMEOUT_MS)
                         .getMap());
-        http.setRootHandler(this);
+        httpListener.setRootHandler(this);
     }
 
     /**
@@ -160,7 +160,7 @@
                 connection.getSourceChannel().getConduit(), () -> connections.bytesReceived(connection), loop::now);
         connection.getSourceChannel().setConduit(framing);
         connections.opened(connection, framing);
-        http.handleEvent(connection);
+        httpListener.handleEvent(connection);
     }
 
     private void route(HttpServerExchange exchange) {
@@ -205,7 +205,7 @@
         answer(exchange, StatusCodes.OK, isInService ? "in service" : "out of service");
     }
 
-    private void setDisabled(HttpServerExchange exchange, String escapedId, String verb) {
+    private void setDisabled(HttpServerExchange exchange, String escapedId, String state) {
         String id;
         try {
             // Unlike in form data, a plus sign in a path is literal.
@@ -215,7 +215,7 @@
             return;
         }
         UpstreamId upstream = new UpstreamId(Hash.of(id));
-        boolean isDisabled = verb.equals(WireNames.OFFLINE);
+        boolean isDisabled = state.equals(WireNames.OFFLINE);
         discovery.wasEverListed(upstream, wasEverListed -> {
             if (!wasEverListed) {
                 answer(exchange, StatusCodes.NOT_FOUND, "no upstream of this id was ever listed");
@@ -225,8 +225,8 @@
                 handover.recordDisabled(upstream, isDisabled, loop.now());
             }
             loadBalancer.setDisabled(upstream, isDisabled, () -> {
-                log.info("operators: upstream=" + Log.clean(id) + " state=" + verb);
-                answer(exchange, StatusCodes.OK, "upstream " + Log.clean(id) + " " + verb);
+                log.info("operators: upstream=" + Log.clean(id) + " state=" + state);
+                answer(exchange, StatusCodes.OK, "upstream " + Log.clean(id) + " " + state);
             });
         });
     }
--- a/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
+++ b/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
@@ -110,7 +110,7 @@
                 now,
                 new AdmissionRequest(
                         arrival.id(),
-                        flow(arrival, clientAddress),
+                        flowId(arrival, clientAddress),
                         arrival.tenant(),
                         arrival.requestClass(),
                         settings.weight(arrival.tenant()),
@@ -125,17 +125,17 @@
      * as long as the body.
      */
     private static int headerBytes(IncomingRequest incoming) {
-        int sum = 0;
+        int totalBytes = 0;
         for (HeaderValues header : incoming.headers()) {
-            sum += header.getHeaderName().length();
+            totalBytes += header.getHeaderName().length();
             for (String value : header) {
-                sum += value.length();
+                totalBytes += value.length();
             }
         }
-        return sum;
+        return totalBytes;
     }
 
-    private FlowId flow(RequestArrival arrival, InetAddress clientAddress) {
+    private FlowId flowId(RequestArrival arrival, InetAddress clientAddress) {
         String tenant = arrival.tenant() == null
                 ? ""
                 : Integer.toString(arrival.tenant().value());
@@ -193,37 +193,37 @@
     private final class AdmittedResponder implements IncomingRequest.Responder {
 
         private final RequestId id;
-        private final IncomingRequest.Responder client;
+        private final IncomingRequest.Responder clientResponder;
 
-        AdmittedResponder(RequestId id, IncomingRequest.Responder client) {
+        AdmittedResponder(RequestId id, IncomingRequest.Responder clientResponder) {
             this.id = id;
-            this.client = client;
+            this.clientResponder = clientResponder;
         }
 
         @Override
         public boolean isOver() {
-            return client.isOver();
+            return clientResponder.isOver();
         }
 
         @Override
         public void served(HttpResult result) {
-            client.served(result);
-            answered();
+            clientResponder.served(result);
+            reportAnswered();
         }
 
         @Override
         public void rejected(double retryAfterSeconds) {
-            client.rejected(retryAfterSeconds);
-            answered();
+            clientResponder.rejected(retryAfterSeconds);
+            reportAnswered();
         }
 
         @Override
         public void failed() {
-            client.failed();
-            answered();
+            clientResponder.failed();
+            reportAnswered();
         }
 
-        private void answered() {
+        private void reportAnswered() {
             mailbox.post(() -> controller.requestAnswered(loop.now(), id));
         }
     }
--- a/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
+++ b/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
@@ -61,7 +61,7 @@
         this.log = log;
         this.shutdown = shutdown;
         mailbox = new Mailbox(loop, log);
-        actions = new SocketActions(loop, log, mailbox, openRequests, this::wokenUp);
+        actions = new SocketActions(loop, log, mailbox, openRequests, this::handleWakeUp);
         loadBalancer = factory.apply(actions);
     }
 
@@ -102,12 +102,12 @@
 
     /** Accepts a request. Its responder receives exactly one answer, unless the client leaves first. */
     public void requestArrived(IncomingRequest incoming) {
-        mailbox.post(() -> arrived(incoming));
+        mailbox.post(() -> handleArrival(incoming));
     }
 
     /** Reports that the client of a request has left. Has no effect if the request is answered or not open. */
     public void clientLeft(RequestId id) {
-        mailbox.post(() -> left(id));
+        mailbox.post(() -> handleClientLeft(id));
     }
 
     /**
@@ -120,8 +120,8 @@
     }
 
     @Override
-    public void attemptEnded(AttemptId attempt, Outcome outcome, HttpResult answer) {
-        mailbox.post(() -> ended(attempt, outcome, answer));
+    public void attemptEnded(AttemptId attempt, Outcome outcome, HttpResult result) {
+        mailbox.post(() -> handleAttemptEnd(attempt, outcome, result));
     }
 
     /**
@@ -171,7 +171,7 @@
     }
 
     private void failOpenRequest(RequestId id) {
-        OpenRequest request = openRequests.unanswered(id);
+        OpenRequest request = openRequests.getUnanswered(id);
         if (request == null) {
             return;
         }
@@ -184,32 +184,32 @@
         }
     }
 
-    private void arrived(IncomingRequest incoming) {
+    private void handleArrival(IncomingRequest incoming) {
         OpenRequest request = new OpenRequest(incoming);
         if (!openRequests.add(request)) {
             incoming.responder().failed();
             return;
         }
         double now = loop.now();
-        double leftSeconds = incoming.arrival().deadline() - now;
+        double remainingSeconds = incoming.arrival().deadline() - now;
         if (incoming.requestBody() == null) {
-            startDeadlineTimer(request, leftSeconds);
+            startDeadlineTimer(request, remainingSeconds);
         } else {
             // The time to the deadline runs from when the last byte of the body is forwarded, as the client may send
             // the body slowly.
             incoming.requestBody()
                     .onWritten(() -> mailbox.post(() -> startDeadlineTimer(
-                            request, Math.min(leftSeconds, shutdown.answerDeadline() - loop.now()))));
+                            request, Math.min(remainingSeconds, shutdown.answerDeadline() - loop.now()))));
         }
         loadBalancer.requestArrived(now, incoming.arrival());
     }
 
     private void startDeadlineTimer(OpenRequest request, double seconds) {
-        request.deadlineTimer = loop.schedule(seconds, () -> mailbox.post(() -> deadlineReached(request)));
+        request.deadlineTimer = loop.schedule(seconds, () -> mailbox.post(() -> handleDeadline(request)));
     }
 
     /** Ends the running attempts as timed out. The load balancer is notified of each, and answers the request. */
-    private void deadlineReached(OpenRequest request) {
+    private void handleDeadline(OpenRequest request) {
         if (request.runningAttempts == 0 && !request.isAnswered) {
             // The load balancer's own wake-up for this request may be due at the same time.
             loadBalancer.wakeUp(loop.now());
@@ -223,12 +223,12 @@
         request.cancelAttempts(Outcome.TIMED_OUT);
     }
 
-    private void left(RequestId id) {
-        OpenRequest request = openRequests.unanswered(id);
+    private void handleClientLeft(RequestId id) {
+        OpenRequest request = openRequests.getUnanswered(id);
         if (request == null) {
             return;
         }
-        openRequests.answered(request);
+        openRequests.markAnswered(request);
         loadBalancer.clientLeft(loop.now(), id);
         if (request.incoming.requestBody() != null
                 && !request.incoming.requestBody().written()) {
@@ -239,7 +239,7 @@
         onCapacityChanged.run();
     }
 
-    private void ended(AttemptId attempt, Outcome outcome, HttpResult answer) {
+    private void handleAttemptEnd(AttemptId attempt, Outcome outcome, HttpResult result) {
         RequestId id = attempt.request();
         OpenRequest request = openRequests.get(id);
         log.debug(() -> "attempt ended: request=" + Log.clean(id.value()) + " attempt=" + attempt.index() + " outcome="
@@ -248,18 +248,18 @@
                 && !request.isAnswered
                 && request.incoming.responder().isOver()) {
             // Must precede the report of this attempt: the load balancer would retry for a client that has left.
-            left(id);
+            handleClientLeft(id);
         }
         if (outcome.provablyNotExecuted) {
-            request.attemptNotExecuted(attempt.index());
+            request.markNotExecuted(attempt.index());
         }
         request.runningAttempts--;
         boolean wasAnswered = request.isAnswered;
         if (outcome == Outcome.SERVED && !wasAnswered) {
-            openRequests.answered(request);
-            request.incoming.responder().served(answer);
-        } else if (answer != null && answer.remainder() != null) {
-            answer.remainder().cancel();
+            openRequests.markAnswered(request);
+            request.incoming.responder().served(result);
+        } else if (result != null && result.remainder() != null) {
+            result.remainder().cancel();
         }
         openRequests.removeIfDone(request);
         boolean isAnswered = wasAnswered || outcome == Outcome.SERVED;
@@ -276,7 +276,7 @@
         onCapacityChanged.run();
     }
 
-    private void wokenUp(double now) {
+    private void handleWakeUp(double now) {
         loadBalancer.wakeUp(now);
         onCapacityChanged.run();
     }
--- a/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
+++ b/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
@@ -14,7 +14,7 @@
 
     final IncomingRequest incoming;
     /** The upstream of each attempt, by attempt index. */
-    final List<UpstreamActor> sentTo = new ArrayList<>(2);
+    final List<UpstreamActor> upstreams = new ArrayList<>(2);
 
     int runningAttempts;
     boolean isAnswered;
@@ -25,7 +25,7 @@
     XnioExecutor.Key deadlineTimer;
 
     /** When each attempt was sent, by attempt index; NaN if the attempt was provably not executed. */
-    private final List<Double> sentAt = new ArrayList<>(2);
+    private final List<Double> sendTimes = new ArrayList<>(2);
 
     OpenRequest(IncomingRequest incoming) {
         this.incoming = incoming;
@@ -36,22 +36,22 @@
     }
 
     AttemptId addAttempt(UpstreamActor upstream, double now) {
-        AttemptId attempt = new AttemptId(id(), sentTo.size());
-        sentTo.add(upstream);
-        sentAt.add(now);
+        AttemptId attempt = new AttemptId(id(), upstreams.size());
+        upstreams.add(upstream);
+        sendTimes.add(now);
         runningAttempts++;
         return attempt;
     }
 
-    void attemptNotExecuted(int index) {
-        sentAt.set(index, Double.NaN);
+    void markNotExecuted(int index) {
+        sendTimes.set(index, Double.NaN);
     }
 
     /** Returns when the first attempt that may have been executed was sent; positive infinity if there is none. */
     double firstPossiblyExecutedAt() {
-        for (double time : sentAt) {
-            if (!Double.isNaN(time)) {
-                return time;
+        for (double sendTime : sendTimes) {
+            if (!Double.isNaN(sendTime)) {
+                return sendTime;
             }
         }
         return Double.POSITIVE_INFINITY;
@@ -62,12 +62,12 @@
     }
 
     void cancelAttempts(Outcome outcome) {
-        for (int i = 0; i < sentTo.size(); i++) {
+        for (int i = 0; i < upstreams.size(); i++) {
             cancelAttempt(i, outcome);
         }
     }
 
     void cancelAttempt(int index, Outcome outcome) {
-        sentTo.get(index).cancelAttempt(new AttemptId(id(), index), outcome);
+        upstreams.get(index).cancelAttempt(new AttemptId(id(), index), outcome);
     }
 }
--- a/daemon/src/main/java/portrelay/net/balancer/OpenRequests.java
+++ b/daemon/src/main/java/portrelay/net/balancer/OpenRequests.java
@@ -21,13 +21,13 @@
     }
 
     /** Returns the request, or null if it is not open or is already answered. */
-    OpenRequest unanswered(RequestId id) {
+    OpenRequest getUnanswered(RequestId id) {
         OpenRequest request = byId.get(id);
         return request == null || request.isAnswered ? null : request;
     }
 
     /** Marks a request as answered: it has been answered, or its client has left. */
-    void answered(OpenRequest request) {
+    void markAnswered(OpenRequest request) {
         request.isAnswered = true;
         removeIfDone(request);
     }
--- a/daemon/src/main/java/portrelay/net/balancer/SocketActions.java
+++ b/daemon/src/main/java/portrelay/net/balancer/SocketActions.java
@@ -72,18 +72,18 @@
 
     @Override
     public void reject(RequestId id, double retryAfter) {
-        OpenRequest request = openRequests.unanswered(id);
+        OpenRequest request = openRequests.getUnanswered(id);
         if (request != null) {
-            openRequests.answered(request);
+            openRequests.markAnswered(request);
             request.incoming.responder().rejected(retryAfter);
         }
     }
 
     @Override
     public void fail(RequestId id) {
-        OpenRequest request = openRequests.unanswered(id);
+        OpenRequest request = openRequests.getUnanswered(id);
         if (request != null) {
-            openRequests.answered(request);
+            openRequests.markAnswered(request);
             request.incoming.responder().failed();
         }
     }
@@ -115,12 +115,12 @@
 
     @Override
     public void probeLoad(UpstreamId upstream) {
-        throw notOverSockets();
+        throw unsupportedOverSockets();
     }
 
     @Override
     public void closeIdleConnections(UpstreamId upstream) {
-        throw notOverSockets();
+        throw unsupportedOverSockets();
     }
 
     @Override
@@ -139,7 +139,7 @@
     }
 
     /** The platform's protocol has no load probes, and does not report which connections an upstream drops. */
-    private static UnsupportedOperationException notOverSockets() {
+    private static UnsupportedOperationException unsupportedOverSockets() {
         return new UnsupportedOperationException(
                 "not supported over sockets; the load balancer is configured not to use it");
     }
--- a/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
+++ b/daemon/src/main/java/portrelay/net/discovery/DiscoveryActor.java
@@ -103,7 +103,7 @@
     public void watch() {
         mailbox.post(() -> {
             if (!watchCalls.isOutstanding()) {
-                callNext();
+                beginNextCall();
             }
         });
     }
@@ -119,7 +119,7 @@
             version = NO_VERSION;
             watchCalls.addressChanged();
             closeIdleConnection();
-            callNext();
+            beginNextCall();
         });
     }
 
@@ -151,7 +151,8 @@
         OutstandingCall call = new OutstandingCall();
         outstanding.put(callId, call);
         // Runs after a poll, so that an answer that has arrived but was not yet read still counts.
-        call.timeout = loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> mailbox.post(() -> timedOut(callId))));
+        call.timeout =
+                loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> mailbox.post(() -> handleTimeout(callId))));
         HttpConnection idle = idleConnection;
         idleConnection = null;
         boolean isReused = idle != null && idle.isUsable();
@@ -164,8 +165,8 @@
         call.connectAttempt = connector.connect(
                 address,
                 CONNECT_TIMEOUT_SECONDS,
-                connection -> mailbox.post(() -> connected(callId, call, connection, waitSeconds)),
-                () -> mailbox.post(() -> failed(callId, "no connection")));
+                connection -> mailbox.post(() -> handleConnected(callId, call, connection, waitSeconds)),
+                () -> mailbox.post(() -> handleFailure(callId, "no connection")));
     }
 
     @Override
@@ -185,11 +186,11 @@
         }
     }
 
-    private void callNext() {
+    private void beginNextCall() {
         watchCalls.begin(version == NO_VERSION);
     }
 
-    private void connected(int callId, OutstandingCall call, HttpConnection connection, double waitSeconds) {
+    private void handleConnected(int callId, OutstandingCall call, HttpConnection connection, double waitSeconds) {
         if (outstanding.get(callId) == call) {
             call.connectAttempt = null;
             send(callId, call, connection, waitSeconds);
@@ -206,16 +207,16 @@
                         + WireNames.WATCH_WAIT_MS + "=" + (long) (waitSeconds * 1e3);
         HttpCall request = HttpCall.of(Methods.GET, target, HttpCall.NO_BODY);
         request.headers().put(Headers.HOST, SocketAddresses.text(address));
-        connection.exchange(request, MAX_LIST_BYTES, result -> mailbox.post(() -> answered(callId, call, result)));
+        connection.exchange(request, MAX_LIST_BYTES, result -> mailbox.post(() -> handleResult(callId, call, result)));
     }
 
-    private void answered(int callId, OutstandingCall call, HttpResult result) {
+    private void handleResult(int callId, OutstandingCall call, HttpResult result) {
         if (outstanding.get(callId) != call) {
             return;
         }
         EndpointListPage page = result.status() == StatusCodes.OK ? parse(result) : null;
         if (page == null) {
-            failed(callId, "answer status=" + result.status());
+            handleFailure(callId, "answer status=" + result.status());
             return;
         }
         log.info("discovery call answered: call=" + callId + " version=" + page.version() + " complete="
@@ -228,7 +229,7 @@
             // Changes of an older list would revert newer ones, such as the draining of an upstream.
             log.warn("discovery version went back: from=" + version + " to=" + page.version());
             version = NO_VERSION;
-            callNext();
+            beginNextCall();
             return;
         }
         if (!apply(page)) {
@@ -241,7 +242,7 @@
             isFailing = false;
             log.info("discovery answers again");
         }
-        callNext();
+        beginNextCall();
     }
 
     /** Applies the page; logs the exception and returns false if that fails. */
@@ -267,7 +268,7 @@
         }
     }
 
-    private void timedOut(int callId) {
+    private void handleTimeout(int callId) {
         if (watchCalls.isOutstanding(callId)) {
             if (!isFailing) {
                 isFailing = true;
@@ -278,7 +279,7 @@
     }
 
     /** Handles the failure of a call; ignores it if the call was abandoned in the meantime. */
-    private void failed(int callId, String reason) {
+    private void handleFailure(int callId, String reason) {
         if (!watchCalls.isOutstanding(callId)) {
             return;
         }
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointListPage.java
@@ -47,7 +47,7 @@
     }
 
     private static Row readRow(JsonFields row) throws InvalidSettingException {
-        Endpoint.Health health = health(row);
+        Endpoint.Health health = readHealth(row);
         InetSocketAddress address = null;
         if (health != Endpoint.Health.GONE) {
             address = SocketAddresses.parse(row.string(WireNames.ADDRESS));
@@ -66,7 +66,7 @@
         return new Row(endpoint, address, row.asMap());
     }
 
-    private static Endpoint.Health health(JsonFields row) throws InvalidSettingException {
+    private static Endpoint.Health readHealth(JsonFields row) throws InvalidSettingException {
         return switch (row.string(WireNames.HEALTH)) {
             case WireNames.HEALTH_READY -> Endpoint.Health.READY;
             case WireNames.HEALTH_DRAINING -> Endpoint.Health.DRAINING;
--- a/daemon/src/main/java/portrelay/net/discovery/EndpointRegistry.java
+++ b/daemon/src/main/java/portrelay/net/discovery/EndpointRegistry.java
@@ -49,7 +49,7 @@
     /** Sets the listener for changes, see {@link DiscoveryActor#onUpdate}. */
     void onUpdate(BiConsumer<Set<UpstreamId>, Object> listener, Set<UpstreamId> knownIds) {
         onUpdate = listener;
-        knownIds.forEach(this::remember);
+        knownIds.forEach(this::rememberId);
     }
 
     boolean wasEverListed(UpstreamId id) {
@@ -108,7 +108,7 @@
         Endpoint endpoint = row.endpoint();
         UpstreamId id = endpoint.id();
         UpstreamActor upstream = upstreams.get(id);
-        remember(id);
+        rememberId(id);
         if (row.address() == null) {
             if (upstream != null) {
                 gone.add(id);
@@ -127,7 +127,7 @@
         rows.put(id, row.tree());
     }
 
-    private void remember(UpstreamId id) {
+    private void rememberId(UpstreamId id) {
         everListed.remove(id);
         everListed.add(id);
         if (everListed.size() > MAX_EVER_LISTED) {
--- a/daemon/src/main/java/portrelay/net/peer/PeerActor.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerActor.java
@@ -42,7 +42,7 @@
     /** The only ASCII control character above the printable characters. */
     private static final byte DELETE = 0x7f;
     /** How many messages one task reads at most, so that clients and upstreams are served in between. */
-    private static final int MAX_RECEIVED_AT_ONCE = 64;
+    private static final int MAX_MESSAGES_PER_READ = 64;
 
     private static final double REBIND_INTERVAL_SECONDS = 1;
 
@@ -55,10 +55,10 @@
     private final MessageListener listener;
     private final Map<SocketAddress, Integer> sidecarByAddress = new HashMap<>();
     /** One byte longer than the maximum message, so that messages that are too long can be detected. */
-    private final ByteBuffer received = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES + 1);
 
-    private final ByteBuffer sending = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES);
-    private final SocketAddressBuffer sender = new SocketAddressBuffer();
+    private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(MAX_MESSAGE_BYTES);
+    private final SocketAddressBuffer addressBuffer = new SocketAddressBuffer();
     /** Null while the address is not bound. */
     private MulticastMessageChannel channel;
 
@@ -66,9 +66,9 @@
     /** Whether a failed bind has been logged; later failures are not logged. */
     private boolean hasBindFailed;
 
-    private long fromStrangers;
-    private long unreadable;
-    private long notSent;
+    private long unknownSenderCount;
+    private long malformedCount;
+    private long notSentCount;
 
     /**
      * Creates the actor; the socket is bound by {@link #start}.
@@ -130,10 +130,10 @@
 
     /** Returns a log line with the number of messages dropped since the start, or null if none were dropped. */
     public String droppedMessagesLine() {
-        return fromStrangers + unreadable + notSent == 0
+        return unknownSenderCount + malformedCount + notSentCount == 0
                 ? null
-                : "messages dropped: from-strangers=" + fromStrangers + " unreadable=" + unreadable + " not-sent="
-                        + notSent;
+                : "messages dropped: from-strangers=" + unknownSenderCount + " unreadable=" + malformedCount
+                        + " not-sent=" + notSentCount;
     }
 
     /** Closes the socket and ends any retries of its bind. */
@@ -151,7 +151,7 @@
         }
         try {
             channel = worker.createUdpServer(addresses.listen(), OptionMap.EMPTY);
-            ChannelListener<MulticastMessageChannel> readListener = readable -> mailbox.post(this::receive);
+            ChannelListener<MulticastMessageChannel> readListener = ignored -> mailbox.post(this::receive);
             channel.getReadSetter().set(readListener);
             channel.resumeReads();
             if (hasBindFailed) {
@@ -169,24 +169,25 @@
     private void send(InetSocketAddress address, String text) {
         boolean isSent = false;
         if (channel != null && text.length() <= MAX_MESSAGE_BYTES) {
-            sending.clear().put(text.getBytes(US_ASCII)).flip();
+            sendBuffer.clear().put(text.getBytes(US_ASCII)).flip();
             try {
-                isSent = channel.sendTo(address, sending);
+                isSent = channel.sendTo(address, sendBuffer);
             } catch (IOException e) {
                 // Counted as not sent, like a message that the network has lost.
             }
         }
-        notSent += isSent ? 0 : 1;
+        notSentCount += isSent ? 0 : 1;
     }
 
     private void receive() {
         try {
-            for (int i = 0; i < MAX_RECEIVED_AT_ONCE && channel != null; i++) {
-                sender.clear();
-                if (channel.receiveFrom(sender, received.clear()) <= 0 && sender.getSourceAddress() == null) {
+            for (int i = 0; i < MAX_MESSAGES_PER_READ && channel != null; i++) {
+                addressBuffer.clear();
+                if (channel.receiveFrom(addressBuffer, receiveBuffer.clear()) <= 0
+                        && addressBuffer.getSourceAddress() == null) {
                     return;
                 }
-                deliver(sidecarByAddress.get(sender.getSourceAddress()));
+                deliver(sidecarByAddress.get(addressBuffer.getSourceAddress()));
             }
         } catch (IOException e) {
             log.warn("messages can't be read: cause=" + e.getMessage());
@@ -199,21 +200,21 @@
      * @param sidecar the number of the sender; null if the sender is not a peer
      */
     private void deliver(Integer sidecar) {
-        received.flip();
+        receiveBuffer.flip();
         if (sidecar == null) {
-            fromStrangers++;
+            unknownSenderCount++;
             return;
         }
-        byte[] bytes = new byte[received.remaining()];
-        received.get(bytes);
-        boolean isReadable = bytes.length > 0 && bytes.length <= MAX_MESSAGE_BYTES;
-        for (byte each : bytes) {
-            isReadable &= each >= ' ' && each != DELETE;
+        byte[] bytes = new byte[receiveBuffer.remaining()];
+        receiveBuffer.get(bytes);
+        boolean isWellFormed = bytes.length > 0 && bytes.length <= MAX_MESSAGE_BYTES;
+        for (byte b : bytes) {
+            isWellFormed &= b >= ' ' && b != DELETE;
         }
-        if (isReadable) {
+        if (isWellFormed) {
             listener.messageReceived(sidecar, new String(bytes, US_ASCII));
         } else {
-            unreadable++;
+            malformedCount++;
         }
     }
 }
--- a/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
@@ -29,16 +29,16 @@
         }
         List<InetSocketAddress> sidecars = new ArrayList<>();
         for (String text : root.strings(WireNames.PEERS)) {
-            sidecars.add(address(root, WireNames.PEERS + "[" + sidecars.size() + "]", text));
+            sidecars.add(parseAddress(root, WireNames.PEERS + "[" + sidecars.size() + "]", text));
         }
         InetSocketAddress broadcast = root.has(WireNames.PEERS_ALL)
-                ? address(root, WireNames.PEERS_ALL, root.string(WireNames.PEERS_ALL))
+                ? parseAddress(root, WireNames.PEERS_ALL, root.string(WireNames.PEERS_ALL))
                 : null;
-        InetSocketAddress listen = address(root, WireNames.PEER_LISTEN, root.string(WireNames.PEER_LISTEN));
+        InetSocketAddress listen = parseAddress(root, WireNames.PEER_LISTEN, root.string(WireNames.PEER_LISTEN));
         return sidecars.isEmpty() ? null : new PeerAddresses(listen, List.copyOf(sidecars), broadcast);
     }
 
-    private static InetSocketAddress address(JsonFields root, String field, String text)
+    private static InetSocketAddress parseAddress(JsonFields root, String field, String text)
             throws InvalidSettingException {
         InetSocketAddress address = SocketAddresses.parse(text);
         if (address == null) {
--- a/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
@@ -20,13 +20,13 @@
     /** Sweeps in each timeout. An idle connection is closed late by at most the timeout divided by this number. */
     private static final int SWEEPS_PER_TIMEOUT = 4;
 
-    private record Idle(HttpConnection connection, double since) {}
+    private record IdleConnection(HttpConnection connection, double idleSince) {}
 
     private final EventLoop loop;
     private final Mailbox mailbox;
     private final Connector connector;
     private final double timeoutSeconds;
-    private final Deque<Idle> newestFirst = new ArrayDeque<>();
+    private final Deque<IdleConnection> newestFirst = new ArrayDeque<>();
     private boolean isSweepScheduled;
 
     /** @param timeoutSeconds how long a connection may be idle before it is closed; 0 for no limit */
@@ -39,13 +39,13 @@
 
     void add(HttpConnection connection) {
         connector.idle(connection);
-        newestFirst.addFirst(new Idle(connection, loop.now()));
+        newestFirst.addFirst(new IdleConnection(connection, loop.now()));
         scheduleSweep();
     }
 
     /** Removes and returns the most recently used connection that can be written to now, or null if there is none. */
     HttpConnection poll() {
-        for (HttpConnection newest = pollRested(); newest != null; newest = pollRested()) {
+        for (HttpConnection newest = pollPastMinIdle(); newest != null; newest = pollPastMinIdle()) {
             connector.inUse(newest);
             if (newest.hasBeenIdle()) {
                 return newest;
@@ -65,10 +65,10 @@
     }
 
     /** Removes and returns the most recently used connection past the minimum idle time, or null if there is none. */
-    private HttpConnection pollRested() {
-        for (Iterator<Idle> iterator = newestFirst.iterator(); iterator.hasNext(); ) {
-            Idle idle = iterator.next();
-            if (idle.since + MIN_IDLE_SECONDS <= loop.now()) {
+    private HttpConnection pollPastMinIdle() {
+        for (Iterator<IdleConnection> iterator = newestFirst.iterator(); iterator.hasNext(); ) {
+            IdleConnection idle = iterator.next();
+            if (idle.idleSince + MIN_IDLE_SECONDS <= loop.now()) {
                 iterator.remove();
                 return idle.connection;
             }
@@ -89,7 +89,7 @@
      */
     private void sweep() {
         isSweepScheduled = false;
-        while (!newestFirst.isEmpty() && newestFirst.peekLast().since + timeoutSeconds <= loop.now()) {
+        while (!newestFirst.isEmpty() && newestFirst.peekLast().idleSince + timeoutSeconds <= loop.now()) {
             newestFirst.pollLast().connection.close();
         }
         scheduleSweep();
--- a/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
@@ -37,7 +37,7 @@
         boolean isOver();
 
         /** Forwards the upstream's response to the client. */
-        void served(HttpResult answer);
+        void served(HttpResult result);
 
         /**
          * Rejects the request. The response states that a retry is safe.
--- a/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
+++ b/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
@@ -31,9 +31,9 @@
         /**
          * Reports that an attempt has ended.
          *
-         * @param answer the upstream's response; null if there is none
+         * @param result the upstream's response; null if there is none
          */
-        void attemptEnded(AttemptId attempt, Outcome outcome, HttpResult answer);
+        void attemptEnded(AttemptId attempt, Outcome outcome, HttpResult result);
     }
 
     /** An attempt that has not ended: it is waiting for a connect, or has a connection. */
@@ -114,10 +114,10 @@
     /** Applies a change of the upstream's row in the endpoint list. */
     public void endpointUpdated(InetSocketAddress newAddress, boolean isDraining) {
         mailbox.post(() -> {
-            boolean hasMoved = !newAddress.equals(address);
+            boolean hasAddressChanged = !newAddress.equals(address);
             address = newAddress;
             this.isDraining = isDraining;
-            if (hasMoved || isDraining) {
+            if (hasAddressChanged || isDraining) {
                 stopUsingConnections();
             }
         });
@@ -177,11 +177,11 @@
         attempt.connectAttempt = connector.connect(
                 address,
                 connectTimeoutSeconds,
-                connection -> mailbox.post(() -> connected(id, attempt, connection)),
+                connection -> mailbox.post(() -> handleConnected(id, attempt, connection)),
                 () -> mailbox.post(() -> end(id, attempt, Outcome.CONNECT_FAILED, null)));
     }
 
-    private void connected(AttemptId id, RunningAttempt attempt, HttpConnection connection) {
+    private void handleConnected(AttemptId id, RunningAttempt attempt, HttpConnection connection) {
         connection.onClosed(() -> idleConnections.remove(connection));
         attempt.connectAttempt = null;
         if (running.get(id) == attempt && connection.isUsable()) {
@@ -208,16 +208,17 @@
             return;
         }
         attempt.connection = connection;
-        connection.beginExchange(call(attempt.request), result -> mailbox.post(() -> answered(id, attempt, result)));
+        connection.beginExchange(
+                createCall(attempt.request), result -> mailbox.post(() -> handleResult(id, attempt, result)));
     }
 
-    private HttpCall call(IncomingRequest request) {
+    private HttpCall createCall(IncomingRequest request) {
         RequestBody requestBody = request.requestBody();
         HttpCall call = HttpCall.of(request.method(), request.target(), request.body(), requestBody);
         HeaderMap headers = call.headers();
         HeaderForwarding.copy(request.headers(), headers);
-        long leftMillis = (long) Math.max(1, (request.arrival().deadline() - loop.now()) * 1e3);
-        headers.put(WireNames.DEADLINE_MS, leftMillis);
+        long remainingMillis = (long) Math.max(1, (request.arrival().deadline() - loop.now()) * 1e3);
+        headers.put(WireNames.DEADLINE_MS, remainingMillis);
         if (requestBody != null && requestBody.length() < 0) {
             headers.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         } else if (request.method().equals(Methods.POST)) {
@@ -226,7 +227,7 @@
         return call;
     }
 
-    private void answered(AttemptId id, RunningAttempt attempt, HttpResult result) {
+    private void handleResult(AttemptId id, RunningAttempt attempt, HttpResult result) {
         if (running.get(id) != attempt) {
             if (result.remainder() != null) {
                 result.remainder().cancel();
@@ -271,9 +272,9 @@
         end(id, attempt, outcome == Outcome.TIMED_OUT && !isWritten ? Outcome.CONNECT_FAILED : outcome, null);
     }
 
-    private void end(AttemptId id, RunningAttempt attempt, Outcome outcome, HttpResult answer) {
+    private void end(AttemptId id, RunningAttempt attempt, Outcome outcome, HttpResult result) {
         if (running.remove(id, attempt)) {
-            listener.attemptEnded(id, outcome, answer);
+            listener.attemptEnded(id, outcome, result);
         }
     }
 
