--- a/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
+++ b/core/src/test/java/portrelay/admission/ConnectionCapacityTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Evictions against a plain map of all connections and their phases, and rule by rule. */
+/** Tests evictions against a map of all connections and their phases as reference, and rule by rule. */
 class ConnectionCapacityTest {
 
     private static final int LIMIT = 8;
@@ -25,7 +25,7 @@
     }
 
     @Property(tries = 500, seed = "20261201")
-    void neverEvictsAnAwaitingOneAndAnyOtherBeforeTheLimitIsExceeded(
+    void neverEvictsAnAwaitingConnectionNorExceedsTheLimitIfAnotherMayBeEvicted(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 999) Integer> steps) {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         Map<ClientId, ConnectionCapacity.Phase> expected = new HashMap<>();
@@ -37,31 +37,33 @@
                 expected.put(id(next), ConnectionCapacity.Phase.SILENT);
                 capacity.opened(now, id(next++));
             } else {
-                ClientId one = expected.keySet().stream()
+                ClientId changed = expected.keySet().stream()
                         .sorted((a, b) -> Long.compare(a.value(), b.value()))
                         .skip(step % expected.size())
                         .findFirst()
                         .orElseThrow();
                 ConnectionCapacity.Phase phase = PHASES.get(step % PHASES.size());
-                expected.put(one, phase);
-                capacity.phaseChanged(now, one, phase);
+                expected.put(changed, phase);
+                capacity.phaseChanged(now, changed, phase);
             }
-            for (ConnectionCapacity.Eviction eviction = capacity.underPressure(now, LIMIT);
+            for (ConnectionCapacity.Eviction eviction = capacity.overLimit(now, LIMIT);
                     eviction != null;
-                    eviction = capacity.underPressure(now, LIMIT)) {
+                    eviction = capacity.overLimit(now, LIMIT)) {
                 assertEquals(expected.remove(eviction.id()), eviction.phase());
                 assertTrue(eviction.phase() != ConnectionCapacity.Phase.ASKED);
                 capacity.closed(eviction.id());
             }
             boolean someMayBeEvicted = expected.values().stream()
                     .anyMatch(p -> p != ConnectionCapacity.Phase.ASKED && p != ConnectionCapacity.Phase.ANSWERING);
-            assertTrue(expected.size() <= LIMIT || !someMayBeEvicted, "over the limit though " + expected);
+            assertTrue(
+                    expected.size() <= LIMIT || !someMayBeEvicted,
+                    "over the limit though a connection may be evicted: " + expected);
             assertEquals(expected.size(), capacity.count());
         }
     }
 
     @Test
-    void underPressureEvictsSilentOnesFirstThenTheLongestIdle() {
+    void overTheLimitEvictsSilentConnectionsFirstThenTheLongestIdle() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         for (int i = 0; i < 4; i++) {
             capacity.opened(i, id(i));
@@ -69,30 +71,30 @@
         capacity.phaseChanged(4, id(1), ConnectionCapacity.Phase.IDLE);
         capacity.phaseChanged(4.1, id(2), ConnectionCapacity.Phase.ASKED);
         capacity.phaseChanged(4.2, id(3), ConnectionCapacity.Phase.IDLE);
-        assertEquals(id(0), capacity.underPressure(4.3, 3).id());
+        assertEquals(id(0), capacity.overLimit(4.3, 3).id());
         capacity.closed(id(0));
-        assertEquals(id(1), capacity.underPressure(4.3, 2).id());
+        assertEquals(id(1), capacity.overLimit(4.3, 2).id());
         capacity.closed(id(1));
-        assertEquals(id(3), capacity.underPressure(4.3, 1).id());
+        assertEquals(id(3), capacity.overLimit(4.3, 1).id());
         capacity.closed(id(3));
-        assertNull(capacity.underPressure(4.3, 0));
+        assertNull(capacity.overLimit(4.3, 0));
     }
 
-    /** Guards against closing a new connection before its first bytes have come. */
+    /** Guards against closing a new connection before its first bytes have arrived. */
     @Test
-    void evictsTheNewestOnlyIfNoOtherMayBeEvicted() {
+    void evictsTheNewestConnectionOnlyIfNoOtherMayBeEvicted() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         capacity.opened(0, id(0));
         capacity.bytesReceived(0, id(0));
         capacity.opened(0.01, id(1));
-        assertEquals(id(0), capacity.underPressure(0.01, 1).id());
+        assertEquals(id(0), capacity.overLimit(0.01, 1).id());
         capacity.phaseChanged(0.01, id(0), ConnectionCapacity.Phase.ASKED);
-        assertEquals(id(1), capacity.underPressure(0.01, 1).id());
+        assertEquals(id(1), capacity.overLimit(0.01, 1).id());
     }
 
-    /** Guards against idle connections that exhaust the connection limit of callers. */
+    /** Guards against idle connections that use up the connection limit of callers. */
     @Test
-    void keepsAsManyIdleAsWereLatelyUsedAtOnce() {
+    void keepsAsManyIdleConnectionsAsTheRecentPeakRequires() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         for (int i = 0; i < 40; i++) {
             capacity.opened(0, id(i));
@@ -100,11 +102,11 @@
         }
         for (int i = 0; i < 40; i++) {
             capacity.phaseChanged(0.01, id(i), ConnectionCapacity.Phase.IDLE);
-            assertNull(capacity.surplus(0.9), "40 were in use a moment ago");
+            assertNull(capacity.surplus(0.9), "40 connections were in use within the last second");
         }
         capacity.opened(2, id(100));
         capacity.phaseChanged(2, id(100), ConnectionCapacity.Phase.ASKED);
-        assertNull(capacity.surplus(0.1), "it has only just become idle");
+        assertNull(capacity.surplus(0.1), "connection has been idle for less than the minimum idle time");
         assertEquals(id(0), capacity.surplus(2).id());
         int evicted = 0;
         for (ConnectionCapacity.Eviction eviction = capacity.surplus(2);
@@ -117,7 +119,7 @@
     }
 
     @Test
-    void evictsAnOverdueOneWithoutPressure() {
+    void evictsAnOverdueConnectionBelowTheLimit() {
         ConnectionCapacity capacity = new ConnectionCapacity(ConnectionCapacityConfig.DEFAULTS);
         capacity.opened(0, id(0));
         capacity.bytesReceived(0, id(0));
--- a/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
+++ b/daemon/src/main/java/portrelay/net/client/LateRequestConnection.java
@@ -9,31 +9,31 @@
 import portrelay.net.eventloop.EventLoop;
 
 /**
- * A client's connection whose requests come too late to be forwarded. Once taken over it answers each complete request
- * and ends the connection, unless a further request has begun behind it; a request whose body is still coming is
- * answered at its head, and the rest of the body is thrown away.
+ * A client connection whose requests arrive too late to be forwarded. After the takeover each complete request is
+ * answered and the connection closed, unless the head of a further request has begun to arrive. A request whose body is
+ * still being received is answered after its head, and the rest of the body is discarded.
  */
 final class LateRequestConnection {
 
-    /** Reads in one turn of the loop, so that others have their turn between. */
+    /** Maximum number of reads in one turn of the loop, so that other tasks run in between. */
     private static final int MAX_READS_PER_TURN = 64;
 
-    /** For how long the rest of a body is thrown away, or what follows a malformed request. */
-    private static final double MAX_DISCARD_SECONDS = LingeringClose.BRIEF.maxTotal();
+    /** Longest time for which the rest of a body, or the bytes after a malformed request, are discarded. */
+    private static final double MAX_DISCARD_SECONDS = LingeringClose.BRIEF.maxTotalSeconds();
 
     private final EventLoop loop;
     private final LateRequestRejecter rejecter;
     private final ClientConnections connections;
     private final StreamConnection socket;
     private final RequestFramingFilter filter;
-    /** The lowest one, under those of Undertow. */
+    /** The lowest sink conduit, below those of Undertow. */
     private final StreamSinkConduit sink;
 
-    /** Of the messages on this connection, those that are answered. */
+    /** Number of the requests on this connection that have been answered. */
     private int answeredMessages;
-    /** Null where all is written. */
+    /** The rest of a response; null if everything has been written. */
     private ByteBuffer unsent;
-    /** The last answer is given: what comes is thrown away. */
+    /** Whether the last response has been given, so that bytes that follow are discarded. */
     private boolean isDiscarding;
 
     LateRequestConnection(
@@ -55,10 +55,10 @@
         return connections.awaitsRequest(socket);
     }
 
-    /** From here on nobody else reads from or writes to the connection. */
+    /** Takes over all reading from and writing to the connection. */
     void takeOver() {
         filter.stopIntercepting();
-        answeredMessages = filter.messages();
+        answeredMessages = filter.messageCount();
         socket.getSinkChannel().setConduit(sink);
         ConduitStreamSourceChannel source = socket.getSourceChannel();
         source.setConduit(filter);
@@ -74,12 +74,12 @@
         try {
             int count = 1;
             for (int reads = 0; reads < MAX_READS_PER_TURN && count > 0; reads++) {
-                boolean isFirstRead = filter.isBetweenMessages() && filter.messages() == answeredMessages;
+                boolean isAtMessageStart = filter.isBetweenMessages() && filter.messageCount() == answeredMessages;
                 ByteBuffer bytes = rejecter.readBuffer();
                 count = source.read(bytes);
-                isReadinessRequest |= isFirstRead && LateRequestRejecter.isReadinessRequest(bytes.flip());
+                isReadinessRequest |= isAtMessageStart && LateRequestRejecter.isReadinessRequest(bytes.flip());
             }
-            answer(isReadinessRequest);
+            answerRequests(isReadinessRequest);
             if (count < 0) {
                 close();
             }
@@ -90,19 +90,19 @@
         }
     }
 
-    /** Answers what is complete, and what can't be completed without its body being read. */
-    private void answer(boolean isReadinessRequest) throws IOException {
+    /** Answers the complete requests, and one that can't be completed without reading its body. */
+    private void answerRequests(boolean isReadinessRequest) throws IOException {
         boolean isInBody = !filter.isBetweenMessages() && !filter.isInHead();
-        int count = filter.messages() - answeredMessages + (isInBody ? 1 : 0);
+        int count = filter.messageCount() - answeredMessages + (isInBody ? 1 : 0);
         if (isDiscarding) {
-            closeBehindBody();
+            closeAfterBody();
         } else if (count > 0) {
             answeredMessages += count;
             boolean isLast = isInBody || filter.isBetweenMessages();
             isDiscarding = isLast;
             boolean isReadiness = isReadinessRequest && count == 1 && isLast;
-            write(isReadiness ? rejecter.notReady() : rejecter.responses(count, isLast));
-            discardBody(isInBody);
+            write(isReadiness ? rejecter.notReadyResponse() : rejecter.rejections(count, isLast));
+            discardBodyThenClose(isInBody);
         }
     }
 
@@ -113,26 +113,29 @@
         }
         isDiscarding = true;
         try {
-            write(rejecter.malformed(filter.messages() - answeredMessages));
-            discardBody(true);
+            write(rejecter.malformedResponses(filter.messageCount() - answeredMessages));
+            discardBodyThenClose(true);
         } catch (IOException e) {
             close();
         }
     }
 
-    /** Unless there is none: then the connection ends as soon as the answer is written. */
-    private void discardBody(boolean hasBody) throws IOException {
+    /**
+     * Once the last response has been given, limits the time for which the rest of the body is discarded; without a
+     * body the connection is closed as soon as the response is written.
+     */
+    private void discardBodyThenClose(boolean hasBody) throws IOException {
         if (!isDiscarding) {
             return;
         }
         if (hasBody) {
             loop.schedule(MAX_DISCARD_SECONDS, this::close);
         } else {
-            closeBehindBody();
+            closeAfterBody();
         }
     }
 
-    private void closeBehindBody() {
+    private void closeAfterBody() {
         if (unsent == null && filter.isBetweenMessages()) {
             close();
         }
@@ -144,12 +147,12 @@
         if (bytes.hasRemaining()) {
             unsent = bytes;
             socket.getSourceChannel().suspendReads();
-            channel.setWriteListener(ignored -> writeRest());
+            channel.setWriteListener(ignored -> writeRemaining());
             channel.resumeWrites();
         }
     }
 
-    private void writeRest() {
+    private void writeRemaining() {
         try {
             socket.getSinkChannel().write(unsent);
             if (unsent.hasRemaining()) {
@@ -159,7 +162,7 @@
             socket.getSinkChannel().suspendWrites();
             socket.getSourceChannel().resumeReads();
             if (isDiscarding) {
-                closeBehindBody();
+                closeAfterBody();
             }
         } catch (IOException e) {
             close();
@@ -167,6 +170,6 @@
     }
 
     private void close() {
-        connections.closeAnswered(socket);
+        connections.closeAfterLastResponse(socket);
     }
 }
