--- a/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
+++ b/daemon/src/main/java/portrelay/net/admin/AdminEndpoint.java
@@ -43,8 +43,8 @@
 
 /**
  * Serves operator calls over HTTP, one call per connection. Each call is answered once its change is in effect. The
- * connections are managed separately from those of clients; when they run short, connections that have sent no call or
- * an incomplete one are evicted. All methods must be called on the event loop, except {@link #listen} and
+ * connections are managed separately from those of clients; under pressure, connections that have sent no call or an
+ * incomplete one are evicted. All methods must be called on the event loop, except {@link #listen} and
  * {@link #address}, which may be called from any thread.
  */
 public final class AdminEndpoint implements HttpHandler {
@@ -57,7 +57,7 @@
             /* firstByteTimeout= */ 0.25,
             /* sendTimeout= */ 3,
             /* readTimeout= */ 1,
-            /* idleMost= */ 3,
+            /* idleTimeout= */ 3,
             /* silentShare= */ 0.9,
             /* sendingShare= */ 0.9,
             /* minIdle= */ 0,
