--- a/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
+++ b/daemon/src/main/java/portrelay/net/balancer/OpenRequest.java
@@ -9,24 +9,23 @@
 import portrelay.net.upstream.IncomingRequest;
 import portrelay.net.upstream.UpstreamActor;
 
-/** A request that waits for its answer or has an attempt that still runs. */
+/** A request that is unanswered or has a running attempt. */
 final class OpenRequest {
 
     final IncomingRequest incoming;
-    /** The upstream of each attempt, by the attempt's index. */
-    final List<UpstreamActor> sentTo = new ArrayList<>(2);
+    /** The upstream of each attempt, by attempt index. */
+    final List<UpstreamActor> upstreams = new ArrayList<>(2);
 
     int runningAttempts;
     boolean isAnswered;
     /**
-     * Ends every attempt that still runs at the deadline. Guards against attempts that outlive an answered request:
-     * where attempts may not be cancelled, nothing else ends them. Null until the whole body of a streamed request was
-     * sent.
+     * Ends every attempt that is still running at the deadline, also after the request was answered: if attempts may
+     * not be cancelled, nothing else ends them. Null until the whole body of a streamed request has been sent.
      */
     XnioExecutor.Key deadlineTimer;
 
-    /** When each attempt was sent, by its index; NaN once it provably was not executed. */
-    private final List<Double> sentAt = new ArrayList<>(2);
+    /** When each attempt was sent, by attempt index; NaN if the attempt was provably not executed. */
+    private final List<Double> sendTimes = new ArrayList<>(2);
 
     OpenRequest(IncomingRequest incoming) {
         this.incoming = incoming;
@@ -37,22 +36,22 @@
     }
 
     AttemptId addAttempt(UpstreamActor upstream, double now) {
-        AttemptId attempt = new AttemptId(id(), sentTo.size());
-        sentTo.add(upstream);
-        sentAt.add(now);
+        AttemptId attempt = new AttemptId(id(), upstreams.size());
+        upstreams.add(upstream);
+        sendTimes.add(now);
         runningAttempts++;
         return attempt;
     }
 
-    void attemptNotExecuted(int index) {
-        sentAt.set(index, Double.NaN);
+    void markNotExecuted(int index) {
+        sendTimes.set(index, Double.NaN);
     }
 
-    /** When the first attempt was sent that may have been executed; infinite where there is none. */
+    /** Returns when the first attempt that may have been executed was sent; positive infinity if there is none. */
     double firstPossiblyExecutedAt() {
-        for (double time : sentAt) {
-            if (!Double.isNaN(time)) {
-                return time;
+        for (double sendTime : sendTimes) {
+            if (!Double.isNaN(sendTime)) {
+                return sendTime;
             }
         }
         return Double.POSITIVE_INFINITY;
@@ -63,12 +62,12 @@
     }
 
     void cancelAttempts(Outcome outcome) {
-        for (int i = 0; i < sentTo.size(); i++) {
+        for (int i = 0; i < upstreams.size(); i++) {
             cancelAttempt(i, outcome);
         }
     }
 
     void cancelAttempt(int index, Outcome outcome) {
-        sentTo.get(index).cancelAttempt(new AttemptId(id(), index), outcome);
+        upstreams.get(index).cancelAttempt(new AttemptId(id(), index), outcome);
     }
 }
--- a/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
@@ -9,18 +9,19 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Where messages between sidecars are received and sent, as the platform's protocol defines it.
+ * The addresses that sidecars use to exchange messages, as defined by the platform's protocol.
  *
- * @param listen where this sidecar receives
- * @param sidecars the address of each sidecar at its number, this one's among them; not empty
- * @param broadcast reaches all sidecars; null where there is no such address
+ * @param listen the address at which this sidecar receives messages
+ * @param sidecars the address of each sidecar, including this one, indexed by its number; not empty
+ * @param broadcast the address that reaches all sidecars; null if there is none
  */
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> sidecars, InetSocketAddress broadcast) {
 
     /**
-     * From the configuration's root; null where it lacks the own address or the others'.
+     * Reads the addresses from the root of the configuration. Returns null if it lacks the address of this sidecar or
+     * those of the sidecars.
      *
-     * @throws InvalidSettingException names the first address that is wrong
+     * @throws InvalidSettingException if an address is invalid; names the first such address
      */
     public static PeerAddresses read(JsonFields root) throws InvalidSettingException {
         if (!root.has(WireNames.PEER_LISTEN) || !root.has(WireNames.PEERS)) {
@@ -28,16 +29,16 @@
         }
         List<InetSocketAddress> sidecars = new ArrayList<>();
         for (String text : root.strings(WireNames.PEERS)) {
-            sidecars.add(address(root, WireNames.PEERS + "[" + sidecars.size() + "]", text));
+            sidecars.add(parseAddress(root, WireNames.PEERS + "[" + sidecars.size() + "]", text));
         }
         InetSocketAddress broadcast = root.has(WireNames.PEERS_ALL)
-                ? address(root, WireNames.PEERS_ALL, root.string(WireNames.PEERS_ALL))
+                ? parseAddress(root, WireNames.PEERS_ALL, root.string(WireNames.PEERS_ALL))
                 : null;
-        InetSocketAddress listen = address(root, WireNames.PEER_LISTEN, root.string(WireNames.PEER_LISTEN));
+        InetSocketAddress listen = parseAddress(root, WireNames.PEER_LISTEN, root.string(WireNames.PEER_LISTEN));
         return sidecars.isEmpty() ? null : new PeerAddresses(listen, List.copyOf(sidecars), broadcast);
     }
 
-    private static InetSocketAddress address(JsonFields root, String field, String text)
+    private static InetSocketAddress parseAddress(JsonFields root, String field, String text)
             throws InvalidSettingException {
         InetSocketAddress address = SocketAddresses.parse(text);
         if (address == null) {
