--- a/kit/src/main/java/portrelay/faulttest/ShutdownClock.java
+++ b/kit/src/main/java/portrelay/faulttest/ShutdownClock.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * The times of SIGTERM and SIGKILL in one round, as taken by the process that sends the signals. Times are values of
- * {@link System#nanoTime}. Thread-safe.
+ * The time of SIGTERM in one round, as taken by the process that sends the signals, and whether SIGKILL has been sent.
+ * Times are values of {@link System#nanoTime}. Thread-safe.
  */
 final class ShutdownClock {
 
