--- a/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverStateCodec.java
@@ -11,8 +11,8 @@
 import portrelay.settings.JsonFields;
 
 /**
- * The stored form of {@link HandoverState}, as JSON. Processes of other versions read it: the names, their order and
- * the form's number stay as they are. Ids of upstreams are unsigned hexadecimal.
+ * Converts {@link HandoverState} to and from its stored JSON form. Processes of other versions read that form, so the
+ * names, their order and the form's number must not change. Upstream ids are written as unsigned hexadecimal numbers.
  */
 final class HandoverStateCodec {
 
@@ -27,15 +27,15 @@
         tree.put("listen", state.owner.listen());
         tree.put("offerings", List.copyOf(state.owner.requestClasses()));
         tree.put("serving", state.isServing);
-        tree.put("ending", state.isEnding);
-        tree.put("out-of-service", state.service.isOut());
-        tree.put("out-of-service-at", state.service.at());
+        tree.put("ending", state.isShuttingDown);
+        tree.put("out-of-service", state.sidecarCall.takesOutOfService());
+        tree.put("out-of-service-at", state.sidecarCall.calledAt());
         List<Object> calls = new ArrayList<>();
-        state.calls.latest().forEach((id, call) -> {
+        state.upstreamCalls.latest().forEach((id, call) -> {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("id", Long.toHexString(id.value()));
-            row.put("offline", call.isOut());
-            row.put("at", call.at());
+            row.put("offline", call.takesOutOfService());
+            row.put("at", call.calledAt());
             calls.add(row);
         });
         tree.put("calls", calls);
@@ -49,9 +49,9 @@
     }
 
     /**
-     * The state of a process of the sidecar of that name.
+     * Decodes the state of a process of the sidecar with the given name.
      *
-     * @throws InvalidSettingException names the field that {@link #encode} would not have made so
+     * @throws InvalidSettingException if the tree is not in the form that {@link #encode} creates; names the field
      */
     static HandoverState decode(Object tree, String sidecarName) throws InvalidSettingException {
         JsonFields root = JsonFields.of(tree, "");
@@ -66,18 +66,18 @@
                 root.string("listen", null),
                 root.has("offerings") ? Set.copyOf(root.strings("offerings")) : Set.of()));
         state.isServing = root.optionalBoolean("serving");
-        state.isEnding = root.optionalBoolean("ending");
-        state.service = new HandoverState.OperatorCall(
+        state.isShuttingDown = root.optionalBoolean("ending");
+        state.sidecarCall = new HandoverState.OperatorCall(
                 root.optionalBoolean("out-of-service"), root.number("out-of-service-at"));
         for (JsonFields row : root.objects("calls")) {
             var call = new HandoverState.OperatorCall(row.requiredBoolean("offline"), row.number("at"));
-            state.calls.restore(upstreamId(root, "calls", row.string("id")), call);
+            state.upstreamCalls.restore(upstreamId(root, "calls", row.string("id")), call);
         }
         for (String id : root.strings("ever")) {
             state.everListed.add(upstreamId(root, "ever", id));
         }
         if (root.has("list")) {
-            // Read for its errors alone: what is not a list must not be taken over as one.
+            // Parsed only to validate it: an invalid list must not be taken over.
             EndpointListPage.read(root.section("list"));
             state.endpointList = ((Map<?, ?>) tree).get("list");
         }
--- a/daemon/src/test/java/portrelay/cli/MainTest.java
+++ b/daemon/src/test/java/portrelay/cli/MainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes and output of the jar's commands, in processes of their own. */
+/** Checks exit codes and output of the jar's commands, each run in a separate process. */
 class MainTest {
 
     private record Result(int exitCode, String out, String err) {}
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void simulateAndItsEarlierNameDoTheSame() throws Exception {
+    void simulateAndItsAliasBehaveTheSame() throws Exception {
         String input = "[\"clock\",1]\n[\"flush\"]\n";
         Result expected = new Result(0, "[\"ok\"]\n", "");
         assertEquals(expected, run(input, "simulate"));
@@ -47,11 +47,11 @@
     }
 
     @Test
-    void malformedInputEndsASimulationWithCodeOneAndItsLine() throws Exception {
+    void malformedInputEndsASimulationWithCodeOneAndTheLineNumber() throws Exception {
         String input = "[\"clock\",1]\n[\"nonsense\"]\n";
-        String why = ": line 2: expected a known event, not nonsense\n";
-        assertEquals(new Result(1, "", "portrelay simulate" + why), run(input, "simulate"));
-        assertEquals(new Result(1, "", "portrelay drill" + why), run(input, "drill"));
+        String error = ": line 2: expected a known event, not nonsense\n";
+        assertEquals(new Result(1, "", "portrelay simulate" + error), run(input, "simulate"));
+        assertEquals(new Result(1, "", "portrelay drill" + error), run(input, "drill"));
     }
 
     @Test
@@ -65,19 +65,22 @@
     }
 
     @Test
-    void aMissingConfigurationIsNamed() throws Exception {
+    void aMissingConfigurationFileIsReportedWithItsField() throws Exception {
         Result missing =
                 run("", "check", "--config", folder.resolve("none.json").toString());
         assertEquals(2, missing.exitCode());
         assertTrue(missing.err().startsWith("portrelay: LB_CONFIG: expected a file that can be read"), missing.err());
     }
 
-    /** The build makes the archive of classes from this run: it has to reach those of a start and of a shutdown. */
+    /**
+     * The build creates the archive of classes from this command, so it has to load the classes of both a start and a
+     * shutdown.
+     */
     @Test
     void aCheckThatOpensTheSidecarStartsAndShutsItDown() throws Exception {
-        String everyField = "../examples/config.json";
-        Result opened = run("", "check", "--config", everyField, "--open");
+        String fullConfig = "../examples/config.json";
+        Result opened = run("", "check", "--config", fullConfig, "--open");
         assertEquals(new Result(0, "the configuration serves\nthe sidecar starts and shuts down\n", ""), opened);
-        assertEquals(new Result(0, "the configuration serves\n", ""), run("", "check", "--config", everyField));
+        assertEquals(new Result(0, "the configuration serves\n", ""), run("", "check", "--config", fullConfig));
     }
 }
