--- a/daemon/src/test/java/portrelay/net/AdminNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdminNetTest.java
@@ -31,36 +31,42 @@
     @Test
     void eachCallIsAnsweredOnceAndEndsItsConnection() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"), answer("200 OK", "v"))) {
-            Socket one = fixture.call();
-            Message ready = SidecarFixture.ask(one, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+            Socket one = fixture.connectAdmin();
+            Message ready = SidecarFixture.exchange(one, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(200, ready.status());
             assertEquals("close", ready.header("Connection"));
             assertEquals(-1, one.getInputStream().read());
             for (int i = 0; i < 2; i++) {
                 assertEquals(
-                        200, fixture.call("PUT /control/upstreams/s-0/offline").status());
+                        200,
+                        fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
                 assertEquals(
-                        200, fixture.call("PUT /control/upstreams/s%2D0/online").status());
-                assertEquals(200, fixture.call("PUT /control/out-of-service").status());
-                assertEquals(200, fixture.call("PUT /control/in-service").status());
+                        200,
+                        fixture.callAdmin("PUT /control/upstreams/s%2D0/online").status());
+                assertEquals(
+                        200, fixture.callAdmin("PUT /control/out-of-service").status());
+                assertEquals(200, fixture.callAdmin("PUT /control/in-service").status());
             }
-            assertEquals(404, fixture.call("PUT /control/upstreams/s-9/offline").status());
             assertEquals(
-                    404, fixture.call("PUT /control/upstreams/s-0/sideways").status());
-            assertEquals(404, fixture.call("GET /control").status());
-            assertEquals(400, fixture.call("PUT /control/upstreams/s%2/offline").status());
-            Message wrong = fixture.call("POST /control/in-service");
+                    404, fixture.callAdmin("PUT /control/upstreams/s-9/offline").status());
+            assertEquals(
+                    404,
+                    fixture.callAdmin("PUT /control/upstreams/s-0/sideways").status());
+            assertEquals(404, fixture.callAdmin("GET /control").status());
+            assertEquals(
+                    400, fixture.callAdmin("PUT /control/upstreams/s%2/offline").status());
+            Message wrong = fixture.callAdmin("POST /control/in-service");
             assertEquals(405, wrong.status());
             assertEquals("PUT", wrong.header("Allow"));
-            assertEquals("GET", fixture.call("PUT /control/ready").header("Allow"));
-            assertEquals(400, fixture.call("PUT").status());
+            assertEquals("GET", fixture.callAdmin("PUT /control/ready").header("Allow"));
+            assertEquals(400, fixture.callAdmin("PUT").status());
         }
     }
 
     @Test
     void theBodyIsNotAwaitedAndItsLateBytesDoNotResetTheAnswer() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"))) {
-            Socket caller = fixture.call();
+            Socket caller = fixture.connectAdmin();
             String head = "PUT /control/out-of-service HTTP/1.1\r\nHost: a\r\n" + "Content-Length: 50000000\r\n\r\n";
             caller.getOutputStream().write(head.getBytes(ISO_8859_1));
             Thread.sleep(20);
@@ -74,26 +80,31 @@
         try (SidecarFixture fixture = new SidecarFixture(256, answer("200 OK", "u"))) {
             List<Socket> slow = new ArrayList<>();
             for (int i = 0; i < 240; i++) {
-                Socket caller = fixture.call();
+                Socket caller = fixture.connectAdmin();
                 slow.add(caller);
                 if (i % 2 == 0) {
                     caller.getOutputStream().write("PUT /control/upstr".getBytes(ISO_8859_1));
                 }
                 if (i % 40 == 39) {
                     long start = System.nanoTime();
-                    assertEquals(200, fixture.call("GET /control/ready").status());
+                    assertEquals(200, fixture.callAdmin("GET /control/ready").status());
                     assertEquals(
                             200,
-                            fixture.call("PUT /control/upstreams/s-0/offline").status());
+                            fixture.callAdmin("PUT /control/upstreams/s-0/offline")
+                                    .status());
                     assertEquals(
                             200,
-                            fixture.call("PUT /control/upstreams/s-0/online").status());
+                            fixture.callAdmin("PUT /control/upstreams/s-0/online")
+                                    .status());
                     assertTrue(System.nanoTime() - start < 1e9, "late behind " + i);
                 }
             }
             // They hold no descriptor that clients need.
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("a" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("a" + i, 900))
+                                .status());
             }
             // The oldest was closed: only a few dozen are held.
             assertEquals(-1, end(slow.get(0)));
@@ -112,28 +123,36 @@
     void aDisabledUpstreamGetsNothingWhateverTheListSays() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"), answer("200 OK", "v"))) {
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("a" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("a" + i, 900))
+                                .status());
             }
-            assertTrue(fixture.upstreams.get(0).seen.size() > 0);
+            assertTrue(fixture.upstreams.get(0).received.size() > 0);
             fixture.discovery.next();
-            assertEquals(200, fixture.call("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(
+                    200, fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
             // Idle connections there are closed at once.
-            assertTrue(fixture.upstreams.get(0).ended.poll(900, TimeUnit.MILLISECONDS) != null);
-            fixture.upstreams.get(0).seen.clear();
-            String list = "{\"seq\":8,\"whole\":true,\"hosts\":[" + fixture.host(0, "SERVING") + ","
-                    + fixture.host(1, "SERVING") + "]}";
+            assertTrue(fixture.upstreams.get(0).closed.poll(900, TimeUnit.MILLISECONDS) != null);
+            fixture.upstreams.get(0).received.clear();
+            String list = "{\"seq\":8,\"whole\":true,\"hosts\":[" + fixture.endpointRow(0, "SERVING") + ","
+                    + fixture.endpointRow(1, "SERVING") + "]}";
             Socket discovery = fixture.discovery.accepted.get(0);
-            answer("200 OK", list).play(null, discovery);
+            answer("200 OK", list).run(null, discovery);
             fixture.discovery.next();
             for (int i = 0; i < 30; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("b" + i, 900))
+                                .status());
             }
-            assertEquals(0, fixture.upstreams.get(0).seen.size());
-            assertEquals(200, fixture.call("PUT /control/upstreams/s-0/online").status());
+            assertEquals(0, fixture.upstreams.get(0).received.size());
+            assertEquals(
+                    200, fixture.callAdmin("PUT /control/upstreams/s-0/online").status());
             long until = System.nanoTime() + 5_000_000_000L;
-            for (int i = 0; fixture.upstreams.get(0).seen.isEmpty(); i++) {
+            for (int i = 0; fixture.upstreams.get(0).received.isEmpty(); i++) {
                 assertTrue(System.nanoTime() < until, "never used again");
-                fixture.ask(SidecarFixture.read("c" + i, 900));
+                fixture.exchange(SidecarFixture.readRequest("c" + i, 900));
                 Thread.sleep(5);
             }
         }
@@ -142,9 +161,10 @@
     @Test
     void withAllUpstreamsDisabledARequestIsRejectedAtOnce() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"))) {
-            assertEquals(200, fixture.call("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(
+                    200, fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
             long start = System.nanoTime();
-            Message got = fixture.ask(SidecarFixture.issue("a", 900));
+            Message got = fixture.exchange(SidecarFixture.issueRequest("a", 900));
             assertEquals(429, got.status());
             assertTrue(System.nanoTime() - start < 0.06e9, "waited for nothing");
             assertTrue(Double.parseDouble(got.header("Retry-After")) > 0);
@@ -155,12 +175,13 @@
     void whatRunsAtADisabledUpstreamIsFinished() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture((message, on) -> {
             Thread.sleep(300);
-            answer("200 OK", "u").play(message, on);
+            answer("200 OK", "u").run(message, on);
         })) {
             Socket client = fixture.connect();
-            client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             fixture.upstreams.get(0).next();
-            assertEquals(200, fixture.call("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(
+                    200, fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
             assertEquals(200, Message.read(client.getInputStream()).status());
         }
     }
@@ -172,17 +193,23 @@
             Socket idle = fixture.connect();
             Socket silent = fixture.connect();
             assertEquals(
-                    200, SidecarFixture.ask(used, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(used, SidecarFixture.readRequest("a", 900))
+                            .status());
+            assertEquals(
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("b", 900))
+                            .status());
+            assertEquals(200, fixture.callAdmin("PUT /control/out-of-service").status());
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("b", 900)).status());
-            assertEquals(200, fixture.call("PUT /control/out-of-service").status());
-            assertEquals(503, fixture.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
-            assertEquals(200, fixture.call("GET /control/ready").status());
-            Message late = SidecarFixture.ask(used, SidecarFixture.read("c", 900));
+                    503, fixture.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status());
+            assertEquals(200, fixture.callAdmin("GET /control/ready").status());
+            Message late = SidecarFixture.exchange(used, SidecarFixture.readRequest("c", 900));
             assertEquals(200, late.status());
             assertEquals("close", late.header("Connection"));
             assertEquals(-1, used.getInputStream().read());
-            assertEquals(200, fixture.ask(SidecarFixture.read("d", 900)).status());
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("d", 900)).status());
             // Still open, for a request that the client is sending.
             idle.setSoTimeout(250);
             assertThrows(
@@ -191,13 +218,14 @@
             assertEquals(-1, idle.getInputStream().read());
             silent.setSoTimeout(1500);
             assertEquals(-1, silent.getInputStream().read());
-            assertEquals(200, fixture.call("PUT /control/in-service").status());
+            assertEquals(200, fixture.callAdmin("PUT /control/in-service").status());
             Socket back = fixture.connect();
             assertEquals(
                     200,
-                    SidecarFixture.ask(back, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                    SidecarFixture.exchange(back, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                             .status());
-            assertNull(SidecarFixture.ask(back, SidecarFixture.read("e", 900)).header("Connection"));
+            assertNull(SidecarFixture.exchange(back, SidecarFixture.readRequest("e", 900))
+                    .header("Connection"));
         }
     }
 
@@ -206,14 +234,18 @@
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"))) {
             Socket idle = fixture.connect();
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("a", 900))
+                            .status());
             for (int i = 0; i < 3; i++) {
-                fixture.call("PUT /control/out-of-service");
-                fixture.call("PUT /control/in-service");
+                fixture.callAdmin("PUT /control/out-of-service");
+                fixture.callAdmin("PUT /control/in-service");
             }
             Thread.sleep(800);
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("b", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("b", 900))
+                            .status());
         }
     }
 
@@ -222,13 +254,14 @@
         // The deadline is far off: only being out of service may end the request.
         Script slow = (message, on) -> {
             Thread.sleep(800);
-            answer("200 OK", "u").play(message, on);
+            answer("200 OK", "u").run(message, on);
         };
         try (SidecarFixture fixture = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), slow)) {
             Socket client = fixture.connect();
-            client.getOutputStream().write(SidecarFixture.issue("a", 9000).getBytes(ISO_8859_1));
+            client.getOutputStream()
+                    .write(SidecarFixture.issueRequest("a", 9000).getBytes(ISO_8859_1));
             fixture.upstreams.get(0).next();
-            fixture.call("PUT /control/out-of-service");
+            fixture.callAdmin("PUT /control/out-of-service");
             assertEquals(200, Message.read(client.getInputStream()).status());
         }
     }
@@ -236,7 +269,7 @@
     @Test
     void anEndlessRequestHeadIsCutOff() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(SILENT)) {
-            Socket caller = fixture.call();
+            Socket caller = fixture.connectAdmin();
             InputStream in = caller.getInputStream();
             assertThrows(IOException.class, () -> {
                 caller.getOutputStream().write("GET / HTTP/1.1\r\nA: ".getBytes(ISO_8859_1));
--- a/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
@@ -37,13 +37,13 @@
     private static Script after(long millis) {
         return (m, on) -> {
             Thread.sleep(millis);
-            answer("200 OK", "ok").play(m, on);
+            answer("200 OK", "ok").run(m, on);
         };
     }
 
     private static double arrival(SidecarFixture testbed, String id) throws IOException {
         long start = System.nanoTime();
-        assertEquals(200, testbed.ask(SidecarFixture.read(id, 900)).status(), id);
+        assertEquals(200, testbed.exchange(SidecarFixture.readRequest(id, 900)).status(), id);
         return (System.nanoTime() - start) / 1e9;
     }
 
@@ -68,8 +68,8 @@
             for (int i = 0; i < 150; i++) {
                 Socket bad = testbed.connect();
                 String slow = "GET /read/x HTTP/1.1\r\nHost: a\r\nX-Slow: ";
-                String says =
-                        List.of("", slow, SidecarFixture.read("u" + i, 900)).get(i % 3);
+                String says = List.of("", slow, SidecarFixture.readRequest("u" + i, 900))
+                        .get(i % 3);
                 bad.getOutputStream().write(says.getBytes(ISO_8859_1));
                 worst = Math.max(worst, arrival(testbed, "usual" + i));
             }
@@ -89,7 +89,7 @@
                 for (int i = 0; i < 60; i++) {
                     Socket one = testbed.connect();
                     one.getOutputStream()
-                            .write(SidecarFixture.read("q" + round + "-" + i, 900)
+                            .write(SidecarFixture.readRequest("q" + round + "-" + i, 900)
                                     .getBytes(ISO_8859_1));
                     all.add(one);
                 }
@@ -104,7 +104,9 @@
                 }
             }
             assertTrue(answered >= 40, answered + " answered");
-            assertEquals(200, testbed.ask(SidecarFixture.read("after", 900)).status());
+            assertEquals(
+                    200,
+                    testbed.exchange(SidecarFixture.readRequest("after", 900)).status());
         }
     }
 
@@ -139,7 +141,7 @@
     /** Guards against bytes that are lost because a peek took them out of the kernel. */
     @Test
     void peekedBytesAreReadAllTheSame() throws Exception {
-        byte[] request = SidecarFixture.read("a", 900).getBytes(ISO_8859_1);
+        byte[] request = SidecarFixture.readRequest("a", 900).getBytes(ISO_8859_1);
         ByteBuffer wire = ByteBuffer.wrap(request);
         AtomicInteger woken = new AtomicInteger();
         StreamSourceConduit source = (StreamSourceConduit) Proxy.newProxyInstance(
@@ -187,8 +189,8 @@
             Socket on = testbed.connect();
             for (int i = 0; until.getCount() > 0; i++) {
                 String id = tenant + n + "-" + i;
-                Message got =
-                        SidecarFixture.ask(on, SidecarFixture.read(id, 900).replace("acme", tenant));
+                Message got = SidecarFixture.exchange(
+                        on, SidecarFixture.readRequest(id, 900).replace("acme", tenant));
                 served += got.status() == 200 && from.getCount() == 0 ? 1 : 0;
             }
             return served;
@@ -245,13 +247,13 @@
                     for (int i = 0; until.getCount() > 0; i++) {
                         String again = retryAfter == null ? "\r\n" : "X-Second-Try: 1\r\n\r\n";
                         Message got;
-                        String request = SidecarFixture.read("c" + client + "-" + i, 900)
+                        String request = SidecarFixture.readRequest("c" + client + "-" + i, 900)
                                 .replace("acme", tenants.get(client % 2));
                         // A connection that was idle meanwhile may have been closed.
                         try (Socket on = new Socket(
                                 testbed.sidecar.address().getAddress(),
                                 testbed.sidecar.address().getPort())) {
-                            got = SidecarFixture.ask(on, request.substring(0, request.length() - 2) + again);
+                            got = SidecarFixture.exchange(on, request.substring(0, request.length() - 2) + again);
                         }
                         if (retryAfter != null) {
                             (got.status() == 200 ? admitted : rejected).incrementAndGet(client % 2);
@@ -286,7 +288,8 @@
             List<Socket> waiting = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 Socket one = testbed.connect();
-                one.getOutputStream().write(SidecarFixture.read("q" + i, 900).getBytes(ISO_8859_1));
+                one.getOutputStream()
+                        .write(SidecarFixture.readRequest("q" + i, 900).getBytes(ISO_8859_1));
                 waiting.add(one);
             }
             testbed.upstreams.get(0).next();
--- a/daemon/src/test/java/portrelay/net/ClientLeavesTest.java
+++ b/daemon/src/test/java/portrelay/net/ClientLeavesTest.java
@@ -55,35 +55,35 @@
             client.setSoLinger(true, 0);
         }
         client.close();
-        HeldEventLoop.ended(client, local, port);
+        BlockedEventLoop.awaitClosed(client, local, port);
     }
 
     /** No request is open any more, and so many requests reached the upstreams. */
     private static void assertNothingOpen(SidecarFixture testbed, int sent) throws Exception {
         assertNothingOpen(testbed);
-        assertEquals(sent, testbed.sent());
+        assertEquals(sent, testbed.receivedCount());
     }
 
     private static void assertNothingOpen(SidecarFixture testbed) throws Exception {
         long until = System.nanoTime() + 5_000_000_000L;
         AtomicInteger open = new AtomicInteger(1);
         while (open.get() > 0) {
-            HeldEventLoop.on(testbed.sidecar.loop, () -> open.set(testbed.sidecar.loadBalancer.openCount()));
+            BlockedEventLoop.runOn(testbed.sidecar.loop, () -> open.set(testbed.sidecar.loadBalancer.openCount()));
             assertTrue(System.nanoTime() < until, open + " requests are left");
         }
-        HeldEventLoop.settled(testbed.sidecar.loop);
+        BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
     }
 
     @ParameterizedTest
     @EnumSource
     void whileTheLoopWasLate(ClientEnd end) throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
-                String request = SidecarFixture.issue("a", 900);
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                String request = SidecarFixture.issueRequest("a", 900);
                 Socket client = send(testbed, request);
-                HeldEventLoop.unread(client, request.length());
+                BlockedEventLoop.awaitUnread(client, request.length());
                 leave(client, end);
-                held.letGo();
+                held.release();
             }
             assertNothingOpen(testbed, 0);
         }
@@ -94,28 +94,30 @@
     @EnumSource
     void withTheNextRequestSentAhead(ClientEnd end) throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
-                String both = SidecarFixture.issue("a", 900) + SidecarFixture.issue("b", 900);
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                String both = SidecarFixture.issueRequest("a", 900) + SidecarFixture.issueRequest("b", 900);
                 Socket client = send(testbed, both);
-                HeldEventLoop.unread(client, both.length());
+                BlockedEventLoop.awaitUnread(client, both.length());
                 leave(client, end);
-                held.letGo();
+                held.release();
             }
             assertNothingOpen(testbed, 0);
         }
         for (boolean isApart : new boolean[] {false, true}) {
             try (SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT)) {
                 Socket client = send(
-                        testbed, SidecarFixture.issue("a", 9000) + (isApart ? "" : SidecarFixture.issue("b", 9000)));
+                        testbed,
+                        SidecarFixture.issueRequest("a", 9000)
+                                + (isApart ? "" : SidecarFixture.issueRequest("b", 9000)));
                 testbed.upstreams.get(0).next();
                 if (isApart) {
                     client.getOutputStream()
-                            .write(SidecarFixture.issue("b", 9000).getBytes(ISO_8859_1));
-                    HeldEventLoop.settled(testbed.sidecar.loop);
+                            .write(SidecarFixture.issueRequest("b", 9000).getBytes(ISO_8859_1));
+                    BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
                 }
                 leave(client, end);
                 // Long before its deadline.
-                assertNotNull(testbed.upstreams.get(0).ended.poll(4, TimeUnit.SECONDS));
+                assertNotNull(testbed.upstreams.get(0).closed.poll(4, TimeUnit.SECONDS));
                 assertNothingOpen(testbed, 0);
             }
         }
@@ -125,20 +127,22 @@
     @Test
     void aLongNextRequestThatWasReadAheadIsStillServed() throws Exception {
         String long1 = "x".repeat(50_000);
-        String next = SidecarFixture.head("POST /issue/x", "b", "issue", 900) + "Content-Length: 50000\r\n\r\n" + long1;
+        String next = SidecarFixture.requestHead("POST /issue/x", "b", "issue", 900) + "Content-Length: 50000\r\n\r\n"
+                + long1;
         try (SidecarFixture testbed = new SidecarFixture((m, on) -> {
             if (m.header("X-Trace-Id").equals("b")) {
-                SERVES.play(m, on);
+                SERVES.run(m, on);
             }
         })) {
-            Socket client = send(testbed, SidecarFixture.issue("a", 900) + next.substring(0, 300));
+            Socket client = send(testbed, SidecarFixture.issueRequest("a", 900) + next.substring(0, 300));
             Message first = testbed.upstreams.get(0).next();
             assertEquals("a", first.header("X-Trace-Id"));
             client.getOutputStream().write(next.substring(300).getBytes(ISO_8859_1));
-            HeldEventLoop.settled(testbed.sidecar.loop);
-            client.getOutputStream().write(SidecarFixture.issue("b2", 900).getBytes(ISO_8859_1));
-            HeldEventLoop.settled(testbed.sidecar.loop);
-            SERVES.play(null, testbed.upstreams.get(0).accepted.get(0));
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+            client.getOutputStream()
+                    .write(SidecarFixture.issueRequest("b2", 900).getBytes(ISO_8859_1));
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+            SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(50_000, testbed.upstreams.get(0).next().body().length);
@@ -150,16 +154,17 @@
     @Test
     void aNextRequestLongerThanWhatIsReadAheadIsComplete() throws Exception {
         String body = "x".repeat(400_000);
-        String next = SidecarFixture.head("POST /issue/x", "b", "issue", 900) + "Content-Length: 400000\r\n\r\n" + body;
+        String next = SidecarFixture.requestHead("POST /issue/x", "b", "issue", 900) + "Content-Length: 400000\r\n\r\n"
+                + body;
         try (SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT)) {
-            Socket client = send(testbed, SidecarFixture.issue("a", 9000));
+            Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
             testbed.upstreams.get(0).next();
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                 client.getOutputStream().write(next.getBytes(ISO_8859_1));
-                HeldEventLoop.unread(client, 50_000);
+                BlockedEventLoop.awaitUnread(client, 50_000);
             }
-            HeldEventLoop.settled(testbed.sidecar.loop);
-            SERVES.play(null, testbed.upstreams.get(0).accepted.get(0));
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+            SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
             testbed.upstreams.get(0).script = SERVES;
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
@@ -170,18 +175,18 @@
     /** Part of the next request is read ahead when the response comes, the rest comes after it. */
     @Test
     void aNextRequestThatWasReadAheadInPartIsReadOnWhenItIsItsTurn() throws Exception {
-        String next = SidecarFixture.issue("b", 900);
+        String next = SidecarFixture.issueRequest("b", 900);
         for (boolean isSentTogether : new boolean[] {true, false}) {
             for (int cut : new int[] {1, 40, next.length() - 4, next.length() - 1}) {
                 try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
                     String part = next.substring(0, cut);
-                    Socket client = send(testbed, SidecarFixture.issue("a", 900) + (isSentTogether ? part : ""));
+                    Socket client = send(testbed, SidecarFixture.issueRequest("a", 900) + (isSentTogether ? part : ""));
                     testbed.upstreams.get(0).next();
                     if (!isSentTogether) {
                         client.getOutputStream().write(part.getBytes(ISO_8859_1));
                     }
-                    HeldEventLoop.settled(testbed.sidecar.loop);
-                    SERVES.play(null, testbed.upstreams.get(0).accepted.get(0));
+                    BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+                    SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
                     assertEquals(200, Message.read(client.getInputStream()).status());
                     testbed.upstreams.get(0).script = SERVES;
                     client.getOutputStream().write(next.substring(cut).getBytes(ISO_8859_1));
@@ -196,15 +201,15 @@
     @ParameterizedTest
     @EnumSource
     void behindGarbageOrManyRequests(ClientEnd end) throws Exception {
-        for (String behind :
-                List.of("X".repeat(40_000), SidecarFixture.issue("b", 900).repeat(200))) {
+        for (String behind : List.of(
+                "X".repeat(40_000), SidecarFixture.issueRequest("b", 900).repeat(200))) {
             try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
-                    String first = SidecarFixture.issue("a", 900);
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                    String first = SidecarFixture.issueRequest("a", 900);
                     Socket client = send(testbed, first + behind);
-                    HeldEventLoop.unread(client, first.length() + behind.length());
+                    BlockedEventLoop.awaitUnread(client, first.length() + behind.length());
                     leave(client, end);
-                    held.letGo();
+                    held.release();
                 }
                 assertNothingOpen(testbed, 0);
             }
@@ -215,23 +220,23 @@
     @ParameterizedTest
     @EnumSource
     void behindAFloodBeforeARetry(ClientEnd end) throws Exception {
-        for (String flood :
-                List.of("X".repeat(150_000), SidecarFixture.issue("b", 900).repeat(900))) {
+        for (String flood : List.of(
+                "X".repeat(150_000), SidecarFixture.issueRequest("b", 900).repeat(900))) {
             try (SidecarFixture testbed =
                     new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT, SILENT)) {
-                Socket client = send(testbed, SidecarFixture.issue("a", 9000));
-                while (testbed.sent() == 0) {
+                Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
+                while (testbed.receivedCount() == 0) {
                     Thread.onSpinWait();
                 }
                 ScriptedServer at =
-                        testbed.upstreams.get(testbed.upstreams.get(0).seen.isEmpty() ? 1 : 0);
+                        testbed.upstreams.get(testbed.upstreams.get(0).received.isEmpty() ? 1 : 0);
                 client.getOutputStream().write(flood.getBytes(ISO_8859_1));
-                HeldEventLoop.settled(testbed.sidecar.loop);
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     leave(client, end);
-                    NOT_EXECUTED.play(null, at.accepted.get(0));
-                    HeldEventLoop.unread(at.accepted.get(0), 30);
-                    held.letGo();
+                    NOT_EXECUTED.run(null, at.accepted.get(0));
+                    BlockedEventLoop.awaitUnread(at.accepted.get(0), 30);
+                    held.release();
                 }
                 assertNothingOpen(testbed, 1);
             }
@@ -241,12 +246,12 @@
     /** Guards against taking garbage behind a request for the client's end. */
     @Test
     void garbageBehindARequestDoesNotTakeItsResponse() throws Exception {
-        for (String request : List.of(SidecarFixture.read("a", 900), SidecarFixture.issue("a", 900))) {
+        for (String request : List.of(SidecarFixture.readRequest("a", 900), SidecarFixture.issueRequest("a", 900))) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
                 Socket client = send(testbed, request + "X".repeat(40_000));
                 testbed.upstreams.get(0).next();
-                HeldEventLoop.settled(testbed.sidecar.loop);
-                SERVES.play(null, testbed.upstreams.get(0).accepted.get(0));
+                BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+                SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
                 assertEquals(200, Message.read(client.getInputStream()).status());
             }
         }
@@ -258,29 +263,29 @@
         for (boolean isLeavingFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(
                     1024, "{\"most-inside\": 1, \"wait-share\": 0.9}", SidecarFixture.longDeadlines(), SILENT)) {
-                Socket first = send(testbed, SidecarFixture.issue("a", 9000));
+                Socket first = send(testbed, SidecarFixture.issueRequest("a", 9000));
                 testbed.upstreams.get(0).next();
-                Socket second = send(testbed, SidecarFixture.issue("b", 9000));
-                HeldEventLoop.settled(testbed.sidecar.loop);
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                Socket second = send(testbed, SidecarFixture.issueRequest("b", 9000));
+                BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     // Both orders into the kernel; both lie there when the loop goes on.
                     if (isLeavingFirst) {
                         leave(second, end);
                     }
                     Socket upstream = testbed.upstreams.get(0).accepted.get(0);
-                    SERVES.play(null, upstream);
-                    HeldEventLoop.unread(upstream, 30);
+                    SERVES.run(null, upstream);
+                    BlockedEventLoop.awaitUnread(upstream, 30);
                     if (!isLeavingFirst) {
                         leave(second, end);
                     }
-                    held.letGo();
+                    held.release();
                 }
                 assertEquals(200, Message.read(first.getInputStream()).status());
                 assertNothingOpen(testbed, 0);
                 testbed.upstreams.get(0).script = SERVES;
                 assertEquals(
                         200,
-                        testbed.ask(SidecarFixture.issue("c", 9000)).status(),
+                        testbed.exchange(SidecarFixture.issueRequest("c", 9000)).status(),
                         "its admission slot is still taken");
             }
         }
@@ -293,22 +298,23 @@
         try (ScriptedServer late = new ScriptedServer(SERVES);
                 SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines())) {
             testbed.discovery.next();
-            Socket client = send(testbed, SidecarFixture.issue("a", 9000));
-            HeldEventLoop.settled(testbed.sidecar.loop);
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+            Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                 Socket discovery = testbed.discovery.accepted.get(0);
                 String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
-                        + SidecarFixture.host("late", late.address(), "SERVING") + "]}";
-                answer("200 OK", list).play(null, discovery);
-                HeldEventLoop.unread(discovery, 100);
+                        + SidecarFixture.endpointRow("late", late.address(), "SERVING") + "]}";
+                answer("200 OK", list).run(null, discovery);
+                BlockedEventLoop.awaitUnread(discovery, 100);
                 leave(client, end);
-                held.letGo();
+                held.release();
             }
             testbed.discovery.next();
             assertNothingOpen(testbed, 0);
-            assertEquals(0, late.seen.size());
+            assertEquals(0, late.received.size());
             // And nothing of its wait affects others.
-            assertEquals(200, testbed.ask(SidecarFixture.issue("b", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
         }
     }
 
@@ -328,12 +334,12 @@
                 fillQueue(slow, full);
                 testbed.discovery.next();
                 String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
-                        + SidecarFixture.host("slow", "127.0.0.1:" + slow.getLocalPort(), "SERVING") + "]}";
-                answer("200 OK", list).play(null, testbed.discovery.accepted.get(0));
+                        + SidecarFixture.endpointRow("slow", "127.0.0.1:" + slow.getLocalPort(), "SERVING") + "]}";
+                answer("200 OK", list).run(null, testbed.discovery.accepted.get(0));
                 testbed.discovery.next();
-                Socket client = send(testbed, SidecarFixture.issue("a", 9000));
+                Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
                 awaitConnections(testbed, 1);
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     if (isUp) {
                         // The kernel tries again after a second, and now the queue has space.
                         int before = full.size();
@@ -343,7 +349,7 @@
                         }
                     }
                     leave(client, end);
-                    held.letGo();
+                    held.release();
                 }
                 assertNothingOpen(testbed, 0);
                 if (isUp) {
@@ -371,7 +377,7 @@
         AtomicInteger open = new AtomicInteger(-1);
         long end = System.nanoTime() + 5_000_000_000L;
         while (open.get() != expected) {
-            HeldEventLoop.on(testbed.sidecar.loop, () -> open.set(testbed.sidecar.upstreamConnector.openCount()));
+            BlockedEventLoop.runOn(testbed.sidecar.loop, () -> open.set(testbed.sidecar.upstreamConnector.openCount()));
             assertTrue(System.nanoTime() < end, open + " connections are open, not " + expected);
         }
     }
@@ -381,18 +387,18 @@
     @EnumSource
     void beforeAHedgedRequest(ClientEnd end) throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT, SILENT)) {
-            Socket client = send(testbed, SidecarFixture.read("a", 5000));
-            while (testbed.sent() == 0) {
+            Socket client = send(testbed, SidecarFixture.readRequest("a", 5000));
+            while (testbed.receivedCount() == 0) {
                 Thread.onSpinWait();
             }
             long sent = System.nanoTime();
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                 leave(client, end);
                 // Past the second after which the hedged request is due; well short of the deadline.
                 while (System.nanoTime() - sent < 1_200_000_000L) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                held.release();
             }
             assertNothingOpen(testbed, 1);
         }
@@ -404,22 +410,22 @@
     void beforeARetry(ClientEnd end) throws Exception {
         for (boolean isLeavingFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT, SILENT)) {
-                Socket client = send(testbed, SidecarFixture.issue("a", 900));
-                while (testbed.sent() == 0) {
+                Socket client = send(testbed, SidecarFixture.issueRequest("a", 900));
+                while (testbed.receivedCount() == 0) {
                     Thread.onSpinWait();
                 }
                 ScriptedServer at =
-                        testbed.upstreams.get(testbed.upstreams.get(0).seen.isEmpty() ? 1 : 0);
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                        testbed.upstreams.get(testbed.upstreams.get(0).received.isEmpty() ? 1 : 0);
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     if (isLeavingFirst) {
                         leave(client, end);
                     }
-                    NOT_EXECUTED.play(null, at.accepted.get(0));
-                    HeldEventLoop.unread(at.accepted.get(0), 30);
+                    NOT_EXECUTED.run(null, at.accepted.get(0));
+                    BlockedEventLoop.awaitUnread(at.accepted.get(0), 30);
                     if (!isLeavingFirst) {
                         leave(client, end);
                     }
-                    held.letGo();
+                    held.release();
                 }
                 assertNothingOpen(testbed, 1);
             }
@@ -431,7 +437,7 @@
     @EnumSource
     void behindALongBody(ClientEnd end) throws Exception {
         String bytes = "y".repeat(100_000);
-        String head = SidecarFixture.head("POST /issue/x", "a", "issue", 900);
+        String head = SidecarFixture.requestHead("POST /issue/x", "a", "issue", 900);
         List<String> requests = List.of(
                 head + "Content-Length: 100000\r\n\r\n" + bytes,
                 head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + bytes + "\r\n0\r\n\r\n");
@@ -444,11 +450,11 @@
                             : on.getInputStream().readAllBytes(),
                     ISO_8859_1));
             try (SidecarFixture testbed = new SidecarFixture(reads)) {
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     Socket client = send(testbed, request);
-                    HeldEventLoop.unread(client, request.length());
+                    BlockedEventLoop.awaitUnread(client, request.length());
                     leave(client, end);
-                    held.letGo();
+                    held.release();
                 }
                 assertNothingOpen(testbed);
                 String all = came.poll(1, TimeUnit.SECONDS);
@@ -465,13 +471,13 @@
     void withHalfABody(ClientEnd end) throws Exception {
         for (int length : new int[] {20_000, 200_000}) {
             try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-                String half = SidecarFixture.head("POST /issue/x", "a", "issue", 900) + "Content-Length: " + length
-                        + "\r\n\r\n" + "y".repeat(length / 2);
+                String half = SidecarFixture.requestHead("POST /issue/x", "a", "issue", 900) + "Content-Length: "
+                        + length + "\r\n\r\n" + "y".repeat(length / 2);
                 Socket client = send(testbed, half);
-                HeldEventLoop.settled(testbed.sidecar.loop);
+                BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
                 leave(client, end);
                 assertNothingOpen(testbed);
-                Message sent = testbed.upstreams.get(0).seen.poll(300, TimeUnit.MILLISECONDS);
+                Message sent = testbed.upstreams.get(0).received.poll(300, TimeUnit.MILLISECONDS);
                 assertTrue(sent == null || sent.body().length < length, "a complete body was forwarded");
             }
         }
@@ -484,20 +490,21 @@
         for (boolean isRetryFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
                 ScriptedServer upstream = testbed.upstreams.get(0);
-                Socket left = send(testbed, SidecarFixture.issue("same", 900));
+                Socket left = send(testbed, SidecarFixture.issueRequest("same", 900));
                 upstream.next();
                 upstream.script = SERVES;
                 Socket next;
-                try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                     if (!isRetryFirst) {
                         leave(left, end);
                     }
-                    next = send(testbed, SidecarFixture.issue("same", 900));
-                    HeldEventLoop.unread(next, SidecarFixture.issue("same", 900).length());
+                    next = send(testbed, SidecarFixture.issueRequest("same", 900));
+                    BlockedEventLoop.awaitUnread(
+                            next, SidecarFixture.issueRequest("same", 900).length());
                     if (isRetryFirst) {
                         leave(left, end);
                     }
-                    held.letGo();
+                    held.release();
                 }
                 assertEquals(200, Message.read(next.getInputStream()).status());
                 assertNothingOpen(testbed, 1);
@@ -512,7 +519,7 @@
     void whereNothingMayBeCancelledItEndsWithItsDeadline() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(
                 1024, "{}", config -> config.replace("\"cancel\":true", "\"cancel\":false"), SILENT)) {
-            Socket client = send(testbed, SidecarFixture.issue("a", 500));
+            Socket client = send(testbed, SidecarFixture.issueRequest("a", 500));
             testbed.upstreams.get(0).next();
             leave(client, ClientEnd.FIN);
             assertNothingOpen(testbed, 0);
--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -67,7 +67,7 @@
     private static SidecarConfig config(ScriptedServer discovery, ScriptedServer upstream, String listen)
             throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
         return SidecarConfig.parse(SidecarFixture.config(discovery.address(), list, 512)
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + listen + "\"")
                 .getBytes(UTF_8));
@@ -98,15 +98,16 @@
                     Sidecar.open(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(log, true), null, ENDLESS);
             try (Socket client = connect(cold.address());
                     Socket looks = connect(cold.address())) {
-                client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+                client.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
                 Thread drain = drain(cold);
                 await("draining", log);
-                answer("200 OK", "u").play(null, upstream.accepted.get(0));
+                answer("200 OK", "u").run(null, upstream.accepted.get(0));
                 assertEquals(200, Message.read(client.getInputStream()).status());
                 assertEquals(
                         503,
-                        SidecarFixture.ask(looks, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                        SidecarFixture.exchange(looks, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                                 .status());
                 client.close();
                 looks.close();
@@ -131,13 +132,13 @@
                     new WarmUp.Length(Integer.MAX_VALUE, 2.5));
             long opened = System.nanoTime();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(cold.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(cold.loop)) {
                 drain = drain(cold);
                 awaitPosted(drain);
                 while (since(opened) < 2.7) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                held.release();
             }
             cold.awaitReady();
             drain.join();
@@ -157,7 +158,7 @@
             free.close();
             Path file = dir.resolve("config.json");
             String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                    + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                    + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
             Files.writeString(
                     file,
                     SidecarFixture.config(discovery.address(), list, 512)
@@ -177,7 +178,8 @@
                     .start();
             try (Socket client = soon(port)) {
                 client.setSoTimeout(8000);
-                client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+                client.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
                 new ProcessBuilder("kill", "-TERM", "" + serve.pid()).start().waitFor();
                 Message got = Message.read(client.getInputStream());
@@ -210,21 +212,24 @@
             Socket open = testbed.connect();
             assertEquals(
                     200,
-                    SidecarFixture.ask(open, SidecarFixture.read("first", 900)).status());
+                    SidecarFixture.exchange(open, SidecarFixture.readRequest("first", 900))
+                            .status());
             Thread drain;
             Socket late;
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
                 long start = System.nanoTime();
                 drain = drain(testbed.sidecar);
                 awaitPosted(drain);
                 late = testbed.connect();
-                late.getOutputStream().write(SidecarFixture.read("late", 900).getBytes(ISO_8859_1));
-                HeldEventLoop.unread(late, SidecarFixture.read("late", 900).length());
+                late.getOutputStream()
+                        .write(SidecarFixture.readRequest("late", 900).getBytes(ISO_8859_1));
+                BlockedEventLoop.awaitUnread(
+                        late, SidecarFixture.readRequest("late", 900).length());
                 // The timer that closes the listener is due in the turn of the loop that finds the connection.
                 while (since(start) < 0.6) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                held.release();
             }
             Message got = Message.read(late.getInputStream());
             assertNotNull(got, "closed unread");
@@ -245,17 +250,17 @@
             Sidecar next = Sidecar.start(config(discovery, upstream, at), none, dir);
             List<Socket> clients = new ArrayList<>();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(old.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(old.loop)) {
                 // The kernel gives each of the two some of them.
                 for (int i = 0; i < 40; i++) {
                     Socket one = connect(old.address());
                     clients.add(one);
                     one.getOutputStream()
-                            .write(SidecarFixture.read("q" + i, 2000).getBytes(ISO_8859_1));
+                            .write(SidecarFixture.readRequest("q" + i, 2000).getBytes(ISO_8859_1));
                 }
                 drain = drain(old);
                 awaitPosted(drain);
-                held.letGo();
+                held.release();
             }
             for (Socket each : clients) {
                 Message got = Message.read(each.getInputStream());
@@ -278,14 +283,14 @@
         try (SidecarFixture testbed = new SidecarFixture(
                 1024, "{}", config -> config.replace("limit-us\":1000000", "limit-us\":8000000"), SILENT)) {
             Socket one = testbed.connect();
-            one.getOutputStream().write(SidecarFixture.issue("a", 8000).getBytes(ISO_8859_1));
+            one.getOutputStream().write(SidecarFixture.issueRequest("a", 8000).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             Socket half = testbed.connect();
             half.getOutputStream()
-                    .write((SidecarFixture.head("POST /issue/x", "b", "issue", 8000) + "Content-Length: 100000\r\n\r\n"
-                                    + "y".repeat(70_000))
+                    .write((SidecarFixture.requestHead("POST /issue/x", "b", "issue", 8000)
+                                    + "Content-Length: 100000\r\n\r\n" + "y".repeat(70_000))
                             .getBytes(ISO_8859_1));
-            HeldEventLoop.settled(testbed.sidecar.loop);
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
             long start = System.nanoTime();
             Thread drain = drain(testbed.sidecar);
             awaitPosted(drain);
@@ -310,19 +315,20 @@
             Socket open = testbed.connect();
             long start;
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
-                open.getOutputStream().write(SidecarFixture.issue("a", 2000).getBytes(ISO_8859_1));
+            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                open.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 2000).getBytes(ISO_8859_1));
                 start = System.nanoTime();
                 drain = drain(testbed.sidecar);
                 // As a process that gets no CPU: the loop comes to the signal so late.
                 while (since(start) < 1.3) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                held.release();
             }
             int status = Message.read(open.getInputStream()).status();
             // The late turn may find that forwarding is over before it reads the request: then it was never sent.
-            assertTrue(status == 502 || status == 429 && testbed.sent() == 0, "answered " + status);
+            assertTrue(status == 502 || status == 429 && testbed.receivedCount() == 0, "answered " + status);
             // The longest deadline is 1 s: due after 1.6 s, after 2.3 s if it counted from the turn.
             assertTrue(since(start) < 1.95, "answered after SIGKILL: " + since(start));
             open.close();
@@ -338,13 +344,13 @@
         try (SidecarFixture testbed = new SidecarFixture(SILENT);
                 ScriptedServer second = new ScriptedServer(SILENT)) {
             Socket open = testbed.connect();
-            open.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            open.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             Thread once = drain(testbed.sidecar);
             testbed.reload(second.address());
             Thread twice = drain(testbed.sidecar);
-            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
-            answer("200 OK", "u").play(null, testbed.upstreams.get(0).accepted.get(0));
+            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
+            answer("200 OK", "u").run(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(open.getInputStream()).status());
             open.close();
             once.join(3000);
@@ -366,13 +372,13 @@
                     new PrintStream(nextLog, true),
                     dir);
             Thread ends;
-            try (HeldEventLoop held = new HeldEventLoop(next.loop)) {
+            try (BlockedEventLoop held = new BlockedEventLoop(next.loop)) {
                 ends = drain(next);
                 // Its file says so before its loop has got to it.
                 awaitEnding();
                 Thread drain = drain(old);
                 await("draining", oldLog);
-                held.letGo();
+                held.release();
                 drain.join();
             }
             ends.join();
@@ -413,7 +419,7 @@
                 try (Socket client = connect(old.address())) {
                     assertEquals(
                             200,
-                            SidecarFixture.ask(client, SidecarFixture.read("q" + i, 900))
+                            SidecarFixture.exchange(client, SidecarFixture.readRequest("q" + i, 900))
                                     .status());
                 }
             }
@@ -436,10 +442,10 @@
                 // The old one's listener may still be there for a moment, with nobody behind it.
                 try (Socket client = soon(at.getPort())) {
                     client.setSoTimeout(5000);
-                    got = SidecarFixture.ask(client, SidecarFixture.read("a" + i, 900));
+                    got = SidecarFixture.exchange(client, SidecarFixture.readRequest("a" + i, 900));
                     if (got != null) {
                         String up = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-                        assertEquals(503, SidecarFixture.ask(client, up).status());
+                        assertEquals(503, SidecarFixture.exchange(client, up).status());
                     }
                 } catch (SocketException e) {
                     // Reset with it.
@@ -477,11 +483,11 @@
                     if (each.equals(elsewhere)) {
                         assertEquals(
                                 200,
-                                SidecarFixture.ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                                SidecarFixture.exchange(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                                         .status());
                         assertEquals(
                                 200,
-                                SidecarFixture.ask(client, SidecarFixture.read("a", 900))
+                                SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
                                         .status(),
                                 "disabled by another sidecar");
                     }
@@ -520,7 +526,7 @@
             try (Socket client = connect(one.address())) {
                 assertEquals(
                         200,
-                        SidecarFixture.ask(client, SidecarFixture.read("a", 900))
+                        SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
                                 .status());
             }
             one.close();
@@ -529,7 +535,8 @@
 
     private static int call(Sidecar sidecar, String line) throws IOException {
         try (Socket s = connect(sidecar.adminAddress())) {
-            return SidecarFixture.ask(s, line + " HTTP/1.1\r\nHost: a\r\n\r\n").status();
+            return SidecarFixture.exchange(s, line + " HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .status();
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/DescriptorsTest.java
+++ b/daemon/src/test/java/portrelay/net/DescriptorsTest.java
@@ -106,7 +106,7 @@
     private static int served(int port, String name) throws Exception {
         for (int i = 0; i < 50; i++) {
             try {
-                Message got = ask(port, SidecarFixture.read(name + i, 900));
+                Message got = ask(port, SidecarFixture.readRequest(name + i, 900));
                 if (got != null && got.status() == 200) {
                     return 200;
                 }
@@ -140,8 +140,8 @@
         ScriptedServer discovery = new ScriptedServer(SILENT);
         ScriptedServer first = new ScriptedServer(answer("200 OK", "first"));
         ScriptedServer second = new ScriptedServer(answer("200 OK", "second"));
-        String list =
-                "{\"seq\":7,\"whole\":true,\"hosts\":[" + SidecarFixture.host("s-0", first.address(), "SERVING") + "]}";
+        String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
+                + SidecarFixture.endpointRow("s-0", first.address(), "SERVING") + "]}";
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file,
@@ -180,16 +180,16 @@
             Thread.sleep(3000);
             assertEquals(200, served(port, "away"), Files.readString(log));
             String next = "{\"seq\":9,\"whole\":true,\"hosts\":["
-                    + SidecarFixture.host("s-1", second.address(), "SERVING") + "]}";
+                    + SidecarFixture.endpointRow("s-1", second.address(), "SERVING") + "]}";
             ScriptedServer back = new ScriptedServer(SILENT, at);
             open.add(back);
             Message arrival = back.next();
-            assertTrue(arrival.first().contains("/discovery/hosts"), arrival.first());
-            answer("200 OK", next).play(null, back.accepted.get(back.accepted.size() - 1));
-            assertTrue(back.next().first().contains("index=9"), "the change was not read");
+            assertTrue(arrival.startLine().contains("/discovery/hosts"), arrival.startLine());
+            answer("200 OK", next).run(null, back.accepted.get(back.accepted.size() - 1));
+            assertTrue(back.next().startLine().contains("index=9"), "the change was not read");
             // A connect to an upstream that had no connection, and an operator's call.
             assertEquals(200, served(port, "back"), Files.readString(log));
-            assertTrue(second.seen.size() > 0, "not sent to the one of the new list");
+            assertTrue(second.received.size() > 0, "not sent to the one of the new list");
             Message called = ask(adminPort, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(200, called.status());
             assertTrue(serve.isAlive(), Files.readString(log));
--- a/daemon/src/test/java/portrelay/net/HandoverNetTest.java
+++ b/daemon/src/test/java/portrelay/net/HandoverNetTest.java
@@ -69,8 +69,8 @@
 
     private Sidecar start(String listen, OutputStream log, int sockets) throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", first.address(), "SERVING") + ","
-                + SidecarFixture.host("s-1", second.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", first.address(), "SERVING") + ","
+                + SidecarFixture.endpointRow("s-1", second.address(), "SERVING") + "]}";
         String json = SidecarFixture.config(discovery.address(), list, sockets)
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + listen + "\"");
         return Sidecar.start(SidecarConfig.parse(json.getBytes(UTF_8)), new PrintStream(log), dir);
@@ -87,7 +87,7 @@
     private static Message say(InetSocketAddress to, String bytes) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             socket.setSoTimeout(5000);
-            return SidecarFixture.ask(socket, bytes);
+            return SidecarFixture.exchange(socket, bytes);
         }
     }
 
@@ -108,7 +108,7 @@
     private static void awaitAll(String what, Sidecar at, int status) throws Exception {
         await(what, () -> {
             for (int i = 0; i < 20; i++) {
-                if (say(at.address(), SidecarFixture.read("n" + System.nanoTime(), 900))
+                if (say(at.address(), SidecarFixture.readRequest("n" + System.nanoTime(), 900))
                                 .status()
                         != status) {
                     return false;
@@ -161,7 +161,9 @@
                         arrival.incrementAndGet();
                         String id = "q" + me + "-" + arrival.get();
                         assertEquals(
-                                200, say(address, SidecarFixture.read(id, 900)).status());
+                                200,
+                                say(address, SidecarFixture.readRequest(id, 900))
+                                        .status());
                         Thread.sleep(2);
                     } catch (Exception | AssertionError e) {
                         failed.add(new FailedRequest(e.toString(), sentAt, System.nanoTime()));
@@ -200,9 +202,13 @@
             kept.setSoTimeout(2000);
             idle.setSoTimeout(2000);
             assertEquals(
-                    200, SidecarFixture.ask(kept, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(kept, SidecarFixture.readRequest("a", 900))
+                            .status());
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("b", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("b", 900))
+                            .status());
             Sidecar next = start(at(old));
             Thread drain = new Thread(old::drain);
             drain.start();
@@ -229,12 +235,13 @@
         for (int i = 0; i < 20; i++) {
             assertFalse(inService(next));
         }
-        first.seen.clear();
+        first.received.clear();
         for (int i = 0; i < 60; i++) {
             assertEquals(
-                    200, say(old.address(), SidecarFixture.read("a" + i, 900)).status());
+                    200,
+                    say(old.address(), SidecarFixture.readRequest("a" + i, 900)).status());
         }
-        assertEquals(0, first.seen.size());
+        assertEquals(0, first.received.size());
         assertEquals(200, call(next, "PUT /control/in-service"));
         await("the old one goes by the new one's call", () -> {
             for (int i = 0; i < 20; i++) {
@@ -248,20 +255,22 @@
         awaitAll("with both disabled at both every request is rejected", next, 429);
         assertEquals(200, call(next, "PUT /control/upstreams/s-1/online"));
         awaitAll("and served again at both", next, 200);
-        first.seen.clear();
+        first.received.clear();
         old.drain();
         old.close();
         for (int i = 0; i < 40; i++) {
             assertEquals(
-                    200, say(next.address(), SidecarFixture.read("b" + i, 900)).status());
+                    200,
+                    say(next.address(), SidecarFixture.readRequest("b" + i, 900))
+                            .status());
         }
-        assertEquals(0, first.seen.size());
+        assertEquals(0, first.received.size());
         assertEquals(200, call(next, "PUT /control/upstreams/s-0/online"));
         next.close();
         Sidecar third = start(at(next));
         await("back at the third", () -> {
-            say(third.address(), SidecarFixture.read("c" + System.nanoTime(), 900));
-            return first.seen.size() > 0;
+            say(third.address(), SidecarFixture.readRequest("c" + System.nanoTime(), 900));
+            return first.received.size() > 0;
         });
         third.close();
     }
@@ -270,9 +279,9 @@
     void anIdThatOnlyThePredecessorSawListedCanBeDisabled() throws Exception {
         Sidecar old = start("127.0.0.1:0");
         discovery.next();
-        String gone = "{\"seq\":8,\"whole\":false,\"hosts\":[" + SidecarFixture.host("s-9", second.address(), "SERVING")
-                + "]}";
-        answer("200 OK", gone).play(null, discovery.accepted.get(0));
+        String gone = "{\"seq\":8,\"whole\":false,\"hosts\":["
+                + SidecarFixture.endpointRow("s-9", second.address(), "SERVING") + "]}";
+        answer("200 OK", gone).run(null, discovery.accepted.get(0));
         await("listed", () -> call(old, "PUT /control/upstreams/s-9/offline") == 200);
         Thread.sleep(400);
         Sidecar next = start(at(old));
@@ -300,7 +309,8 @@
         drain.start();
         Thread.sleep(300);
         // It goes on listening for half a second.
-        assertEquals(200, say(old.address(), SidecarFixture.read("a", 900)).status());
+        assertEquals(
+                200, say(old.address(), SidecarFixture.readRequest("a", 900)).status());
         drain.join();
         assertTrue(System.nanoTime() - start > 0.69e9);
         old.close();
@@ -344,7 +354,8 @@
             assertTrue(why.startsWith("listen"), why);
         }
         assertTrue(inService(old));
-        assertEquals(200, say(old.address(), SidecarFixture.read("a", 900)).status());
+        assertEquals(
+                200, say(old.address(), SidecarFixture.readRequest("a", 900)).status());
         old.close();
     }
 
@@ -366,7 +377,7 @@
         for (int i = 0; i < clients.size(); i++) {
             clients.get(i)
                     .getOutputStream()
-                    .write(SidecarFixture.read("a" + i, 900).getBytes(ISO_8859_1));
+                    .write(SidecarFixture.readRequest("a" + i, 900).getBytes(ISO_8859_1));
         }
         for (Socket each : clients) {
             assertTrue(Message.read(each.getInputStream()).status() > 0);
--- a/daemon/src/test/java/portrelay/net/LateRequestsNetTest.java
+++ b/daemon/src/test/java/portrelay/net/LateRequestsNetTest.java
@@ -49,7 +49,7 @@
         discovery = new ScriptedServer(SILENT);
         upstream = new ScriptedServer(SILENT);
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
         SidecarConfig config = SidecarConfig.parse(
                 SidecarFixture.config(discovery.address(), list, 512).getBytes(UTF_8));
         sidecar = Sidecar.start(config, new PrintStream(new ByteArrayOutputStream(), true));
@@ -77,7 +77,7 @@
     /** Writes the bytes and returns once they lie unread at the sidecar. */
     private static void write(Socket client, String bytes) throws Exception {
         client.getOutputStream().write(bytes.getBytes(ISO_8859_1));
-        HeldEventLoop.unread(client, bytes.length());
+        BlockedEventLoop.awaitUnread(client, bytes.length());
     }
 
     /** Shuts down for a signal of so many seconds ago; returns once the loop has been told. */
@@ -102,17 +102,17 @@
     }
 
     private void assertNothingForwarded() {
-        assertEquals(0, upstream.seen.size(), "forwarded");
+        assertEquals(0, upstream.received.size(), "forwarded");
     }
 
     @Test
     void aCrowdInTheListenQueueIsRejectedUnsent() throws Exception {
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             for (int i = 0; i < CROWD; i++) {
-                write(connect(), SidecarFixture.issue("a" + i, 900));
+                write(connect(), SidecarFixture.issueRequest("a" + i, 900));
             }
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         for (Socket each : clients) {
             assertEquals(WHOLE_REJECTION, all(each));
@@ -128,12 +128,12 @@
             client.getOutputStream().write(READINESS_REQUEST.getBytes(ISO_8859_1));
             assertEquals(200, answer(client).status());
         }
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             for (int i = 0; i < CROWD; i++) {
-                write(clients.get(i), SidecarFixture.issue("a" + i, 900));
+                write(clients.get(i), SidecarFixture.issueRequest("a" + i, 900));
             }
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         for (Socket each : clients) {
             assertEquals(WHOLE_REJECTION, all(each));
@@ -144,12 +144,14 @@
     @Test
     void requestsInOneWriteAreAllRejected() throws Exception {
         Socket client = connect();
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             write(
                     client,
-                    SidecarFixture.issue("a", 900) + SidecarFixture.read("b", 900) + SidecarFixture.issue("c", 900));
+                    SidecarFixture.issueRequest("a", 900)
+                            + SidecarFixture.readRequest("b", 900)
+                            + SidecarFixture.issueRequest("c", 900));
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         for (String connection : new String[] {null, null, "close"}) {
             Message rejected = answer(client);
@@ -164,11 +166,11 @@
     @Test
     void aRequestThatHasBegunIsRejectedOnceItIsComplete() throws Exception {
         Socket client = connect();
-        String second = SidecarFixture.read("b", 900);
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
-            write(client, SidecarFixture.issue("a", 900) + second.substring(0, 30));
+        String second = SidecarFixture.readRequest("b", 900);
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+            write(client, SidecarFixture.issueRequest("a", 900) + second.substring(0, 30));
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         Message rejected = answer(client);
         assertEquals(429, rejected.status());
@@ -185,11 +187,11 @@
         Socket sends = connect();
         String head =
                 "POST /issue/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: issue\r\nContent-Length: 2000000\r\n";
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             write(waits, head + "Expect: 100-continue\r\n\r\n");
             write(sends, head + "\r\n");
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         assertEquals(429, answer(waits).status());
         sends.getOutputStream().write(new byte[2_000_000]);
@@ -201,13 +203,14 @@
     void readinessAndMalformedRequestsAreAnsweredAsSuch() throws Exception {
         Socket readiness = connect();
         Socket malformed = connect();
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             write(readiness, READINESS_REQUEST);
             write(
                     malformed,
-                    SidecarFixture.issue("a", 900) + "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
+                    SidecarFixture.issueRequest("a", 900)
+                            + "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
             drain(TOO_LATE);
-            held.letGo();
+            held.release();
         }
         assertEquals(503, answer(readiness).status());
         assertEquals(429, answer(malformed).status());
@@ -220,20 +223,20 @@
     /** Guards against forwarding, at many times the cost of a rejection, while the rest can't be read by the kill. */
     @Test
     void aLoopThatIsLaterThanAHoldForwardsNothingMoreInAShutdown() throws Exception {
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             drain(0);
-            held.letGo();
+            held.release();
         }
-        HeldEventLoop.settled(sidecar.loop);
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        BlockedEventLoop.awaitPolls(sidecar.loop);
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             for (int i = 0; i < CROWD; i++) {
-                write(connect(), SidecarFixture.issue("a" + i, 900));
+                write(connect(), SidecarFixture.issueRequest("a" + i, 900));
             }
             double until = sidecar.loop.now() + OVERLOAD_SECONDS;
             while (sidecar.loop.now() < until) {
                 Thread.onSpinWait();
             }
-            held.letGo();
+            held.release();
         }
         for (Socket each : clients) {
             assertEquals(WHOLE_REJECTION, all(each));
--- a/daemon/src/test/java/portrelay/net/LongBodiesNetTest.java
+++ b/daemon/src/test/java/portrelay/net/LongBodiesNetTest.java
@@ -8,8 +8,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static portrelay.net.SidecarFixture.SILENT;
 import static portrelay.net.SidecarFixture.answer;
-import static portrelay.net.SidecarFixture.raw;
-import static portrelay.net.SidecarFixture.said;
+import static portrelay.net.SidecarFixture.sendBytes;
+import static portrelay.net.SidecarFixture.sendBytesAndClose;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -95,14 +95,14 @@
         String text = new String(LONG, ISO_8859_1);
         String ok = "HTTP/1.1 200 OK\r\n";
         List<Script> forms = List.of(
-                said("HTTP/1.1 102 On\r\n\r\n" + ok + "Content-Length: " + LONG.length + "\r\n\r\n" + text),
+                sendBytes("HTTP/1.1 102 On\r\n\r\n" + ok + "Content-Length: " + LONG.length + "\r\n\r\n" + text),
                 pieces(ok + "Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 70_001), 33_333),
-                raw(ok + "Connection: close\r\n\r\n" + text),
-                raw("HTTP/1.0 200 OK\r\n\r\n" + text));
+                sendBytesAndClose(ok + "Connection: close\r\n\r\n" + text),
+                sendBytesAndClose("HTTP/1.0 200 OK\r\n\r\n" + text));
         for (Script form : forms) {
             try (SidecarFixture testbed = new SidecarFixture(form)) {
                 Socket client = testbed.connect();
-                Message got = SidecarFixture.ask(client, SidecarFixture.read("a", 900));
+                Message got = SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900));
                 assertEquals(200, got.status(), "form " + forms.indexOf(form));
                 byte[] body = body(got, client.getInputStream());
                 assertArrayEquals(LONG, body, "form " + forms.indexOf(form));
@@ -110,7 +110,7 @@
                 testbed.upstreams.get(0).script = answer("200 OK", "short");
                 assertEquals(
                         200,
-                        SidecarFixture.ask(client, SidecarFixture.read("b", 900))
+                        SidecarFixture.exchange(client, SidecarFixture.readRequest("b", 900))
                                 .status());
             }
         }
@@ -119,13 +119,17 @@
     @Test
     void aShortResponseThatEndsWithItsConnectionIsCompleteOnlyWhereThatWasAnnounced() throws Exception {
         try (SidecarFixture testbed =
-                new SidecarFixture(raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"))) {
+                new SidecarFixture(sendBytesAndClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it"))) {
             assertEquals(
                     "all of it",
-                    new String(testbed.ask(SidecarFixture.read("a", 900)).body(), ISO_8859_1));
+                    new String(
+                            testbed.exchange(SidecarFixture.readRequest("a", 900))
+                                    .body(),
+                            ISO_8859_1));
         }
-        try (SidecarFixture testbed = new SidecarFixture(raw("HTTP/1.1 200 OK\r\n\r\nhow much of it"))) {
-            assertEquals(502, testbed.ask(SidecarFixture.issue("a", 900)).status());
+        try (SidecarFixture testbed = new SidecarFixture(sendBytesAndClose("HTTP/1.1 200 OK\r\n\r\nhow much of it"))) {
+            assertEquals(
+                    502, testbed.exchange(SidecarFixture.issueRequest("a", 900)).status());
         }
     }
 
@@ -135,8 +139,8 @@
         int each = 10_000;
         Script slow = (message, on) -> {
             OutputStream out = on.getOutputStream();
-            said("HTTP/1.1 200 OK\r\nContent-Length: " + pieces * each + "\r\n\r\n")
-                    .play(message, on);
+            sendBytes("HTTP/1.1 200 OK\r\nContent-Length: " + pieces * each + "\r\n\r\n")
+                    .run(message, on);
             for (int i = 0; i < pieces; i++) {
                 out.write(new byte[each]);
                 Thread.sleep(40);
@@ -145,7 +149,7 @@
         try (SidecarFixture testbed = new SidecarFixture(slow, slow)) {
             Socket client = testbed.connect();
             long start = System.nanoTime();
-            client.getOutputStream().write(SidecarFixture.read("a", 300).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.readRequest("a", 300).getBytes(ISO_8859_1));
             assertEquals('H', client.getInputStream().read());
             assertTrue(System.nanoTime() - start < 0.25e9, "the first bytes wait");
             assertEquals("TTP/1.1 200 OK", line(client.getInputStream()));
@@ -154,17 +158,17 @@
             }
             assertEquals(pieces * each, client.getInputStream().readNBytes(pieces * each).length);
             assertTrue(System.nanoTime() - start > 0.7e9);
-            assertEquals(1, testbed.sent());
+            assertEquals(1, testbed.receivedCount());
         }
     }
 
     /** Sends half of a long response, pauses for longer than a client may leave one unread, sends the rest. */
     private static Script pauses(String half) {
         return (message, on) -> {
-            said("HTTP/1.1 200 OK\r\nContent-Length: " + 2 * half.length() + "\r\n\r\n" + half)
-                    .play(message, on);
+            sendBytes("HTTP/1.1 200 OK\r\nContent-Length: " + 2 * half.length() + "\r\n\r\n" + half)
+                    .run(message, on);
             Thread.sleep(3_500);
-            said(half).play(message, on);
+            sendBytes(half).run(message, on);
         };
     }
 
@@ -172,7 +176,7 @@
     @Test
     void anUpstreamThatPausesInALongResponseDoesNotCostItsClientTheRest() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(pauses("x".repeat(100_000)))) {
-            Message got = SidecarFixture.ask(testbed.connect(), SidecarFixture.read("a", 900));
+            Message got = SidecarFixture.exchange(testbed.connect(), SidecarFixture.readRequest("a", 900));
             assertEquals(200, got.status());
             assertEquals(200_000, got.body().length);
         }
@@ -183,7 +187,7 @@
     void manyClientsDoNotEvictALongResponseWhoseUpstreamPauses() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(16, pauses("x".repeat(100_000)))) {
             Socket client = testbed.connect();
-            client.getOutputStream().write(SidecarFixture.read("a", 900).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.readRequest("a", 900).getBytes(ISO_8859_1));
             for (int i = 0; i < 60; i++) {
                 testbed.connect();
                 Thread.sleep(50);
@@ -198,13 +202,14 @@
     void aLongResponseThatBreaksOffIsSeenToBeIncomplete() throws Exception {
         String half = "x".repeat(100_000);
         List<Script> breaks = List.of(
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half),
-                raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + half + "\r\n"),
-                said("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + half + "\r\nzz\r\n"));
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + half + "\r\n"),
+                sendBytes("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + half + "\r\nzz\r\n"));
         for (Script each : breaks) {
             try (SidecarFixture testbed = new SidecarFixture(each)) {
                 Socket client = testbed.connect();
-                client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+                client.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
                 ByteArrayOutputStream got = new ByteArrayOutputStream();
                 boolean reset = false;
                 try {
@@ -227,15 +232,15 @@
     void aResponseWithoutLengthThatIsResetIsNeverTakenForComplete() throws Exception {
         for (int length : new int[] {100, 65_535, 65_536, 65_537, 90_000, 300_000}) {
             Script reset = (message, on) -> {
-                said("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(length))
-                        .play(message, on);
+                sendBytes("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(length))
+                        .run(message, on);
                 on.setSoLinger(true, 0);
                 on.close();
             };
             for (String version : List.of("HTTP/1.1", "HTTP/1.0")) {
                 try (SidecarFixture testbed = new SidecarFixture(reset)) {
                     Socket client = testbed.connect();
-                    String request = SidecarFixture.issue("a", 900).replace("HTTP/1.1", version);
+                    String request = SidecarFixture.issueRequest("a", 900).replace("HTTP/1.1", version);
                     client.getOutputStream().write(request.getBytes(ISO_8859_1));
                     String end = endOf(client);
                     assertTrue(
@@ -292,7 +297,7 @@
                             new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), parts)) {
                         Socket client = testbed.connect();
                         client.setSoTimeout(9000);
-                        Message got = SidecarFixture.ask(client, SidecarFixture.issue("a", 9000));
+                        Message got = SidecarFixture.exchange(client, SidecarFixture.issueRequest("a", 9000));
                         assertEquals(200, got.status(), what);
                         byte[] arrived = got.header("Transfer-Encoding") == null
                                 ? got.body()
@@ -306,18 +311,18 @@
 
     @Test
     void theLosingAttemptIsCancelledWhenALongResponseBegins() throws Exception {
-        Script begins = said("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(70_000));
+        Script begins = sendBytes("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(70_000));
         try (SidecarFixture testbed = new SidecarFixture(SILENT, SILENT)) {
             Socket client = testbed.connect();
-            client.getOutputStream().write(SidecarFixture.read("a", 600).getBytes(ISO_8859_1));
-            while (testbed.sent() < 1) {
+            client.getOutputStream().write(SidecarFixture.readRequest("a", 600).getBytes(ISO_8859_1));
+            while (testbed.receivedCount() < 1) {
                 Thread.onSpinWait();
             }
-            testbed.upstreams.get(testbed.upstreams.get(0).seen.isEmpty() ? 0 : 1).script = begins;
+            testbed.upstreams.get(testbed.upstreams.get(0).received.isEmpty() ? 0 : 1).script = begins;
             assertEquals("HTTP/1.1 200 OK", line(client.getInputStream()));
             SidecarFixture.ScriptedServer silent =
                     testbed.upstreams.get(testbed.upstreams.get(0).script == begins ? 1 : 0);
-            assertTrue(silent.ended.poll(2, TimeUnit.SECONDS) != null, "the losing attempt is not cancelled");
+            assertTrue(silent.closed.poll(2, TimeUnit.SECONDS) != null, "the losing attempt is not cancelled");
         }
     }
 
@@ -328,20 +333,20 @@
             Script takes = (message, on) -> {
                 arrived.write(
                         message.header("Transfer-Encoding") == null ? message.body() : dechunked(on.getInputStream()));
-                answer("200 OK", "u").play(message, on);
+                answer("200 OK", "u").run(message, on);
             };
             try (SidecarFixture testbed = new SidecarFixture(takes)) {
                 Socket client = testbed.connect();
-                String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900);
+                String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900);
                 String sent = chunks
                         ? head + "Transfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 50_000)
                         : head + "Content-Length: " + LONG.length + "\r\n\r\n" + new String(LONG, ISO_8859_1);
-                assertEquals(200, SidecarFixture.ask(client, sent).status());
+                assertEquals(200, SidecarFixture.exchange(client, sent).status());
                 assertArrayEquals(LONG, arrived.toByteArray());
-                assertEquals(1, testbed.sent());
+                assertEquals(1, testbed.receivedCount());
                 assertEquals(
                         200,
-                        SidecarFixture.ask(client, SidecarFixture.issue("b", 900))
+                        SidecarFixture.exchange(client, SidecarFixture.issueRequest("b", 900))
                                 .status());
             }
         }
@@ -351,7 +356,7 @@
     void aLongBodyIsContinuedWhenTheClientAsksFirst() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900) + "Expect: 100-continue\r\n"
+            String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900) + "Expect: 100-continue\r\n"
                     + "Content-Length: 100000\r\n\r\n";
             client.getOutputStream().write(head.getBytes(ISO_8859_1));
             assertEquals("HTTP/1.1 100 Continue", line(client.getInputStream()));
@@ -368,7 +373,8 @@
     void aSlowLongBodyIsNotCutAndItsDeadlineCountsFromItsLastByte() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 300) + "Content-Length: 100000\r\n\r\n";
+            String head =
+                    SidecarFixture.requestHead("POST /issue/x", "id", "issue", 300) + "Content-Length: 100000\r\n\r\n";
             client.getOutputStream().write(head.getBytes(ISO_8859_1));
             for (int i = 0; i < 10; i++) {
                 Thread.sleep(100);
@@ -378,7 +384,8 @@
         }
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 300) + "Content-Length: 100000\r\n\r\n";
+            String head =
+                    SidecarFixture.requestHead("POST /issue/x", "id", "issue", 300) + "Content-Length: 100000\r\n\r\n";
             client.getOutputStream().write(head.getBytes(ISO_8859_1));
             client.getOutputStream().write(new byte[100_000]);
             long start = System.nanoTime();
@@ -407,7 +414,7 @@
                 : "Content-Length: 100000\r\n\r\n" + new String(body, ISO_8859_1);
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900);
+            String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900);
             byte[] bytes = (head + all).getBytes(ISO_8859_1);
             int held = bytes.length - 100;
             client.getOutputStream().write(bytes, 0, held);
@@ -415,16 +422,16 @@
             while (accepted.isEmpty()) {
                 Thread.onSpinWait();
             }
-            HeldEventLoop.settled(testbed.sidecar.loop);
-            try (HeldEventLoop heldLoop = new HeldEventLoop(testbed.sidecar.loop)) {
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
+            try (BlockedEventLoop heldLoop = new BlockedEventLoop(testbed.sidecar.loop)) {
                 accepted.get(0).setSoLinger(true, 0);
                 accepted.get(0).close();
                 client.getOutputStream().write(bytes, held, bytes.length - held);
-                heldLoop.letGo();
+                heldLoop.release();
             }
             Message got = Message.read(client.getInputStream());
             assertNotNull(got, what + ": the connection ended without a response");
-            assertTrue(got.status() == 429 || got.status() == 502, got.first());
+            assertTrue(got.status() == 429 || got.status() == 502, got.startLine());
         }
     }
 
@@ -436,7 +443,8 @@
     void aSlowClientThatReadsOnlyBehindItsLongBodyFindsTheEarlyResponse() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900) + "Content-Length: 140000\r\n\r\n";
+            String head =
+                    SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900) + "Content-Length: 140000\r\n\r\n";
             client.getOutputStream().write((head + "x".repeat(70_000)).getBytes(ISO_8859_1));
             List<Socket> accepted = testbed.upstreams.get(0).accepted;
             while (accepted.isEmpty()) {
@@ -450,7 +458,7 @@
             }
             Message got = Message.read(client.getInputStream());
             assertNotNull(got, "the connection ended without a response");
-            assertTrue(got.status() == 429 || got.status() == 502, got.first());
+            assertTrue(got.status() == 429 || got.status() == 502, got.startLine());
         }
     }
 
@@ -461,7 +469,7 @@
             if (message.header("Transfer-Encoding") != null) {
                 dechunked(on.getInputStream());
             }
-            answer("200 OK", "u").play(message, on);
+            answer("200 OK", "u").run(message, on);
         };
         SplittableRandom random = new SplittableRandom(11);
         try (SidecarFixture testbed = new SidecarFixture(takes)) {
@@ -469,7 +477,7 @@
             for (int i = 0; i < 300; i++) {
                 int size = 65_500 + random.nextInt(6_000);
                 int chunk = 1_000 + random.nextInt(70_000);
-                byte[] all = (SidecarFixture.head("POST /issue/x", "id" + i, "issue", 900)
+                byte[] all = (SidecarFixture.requestHead("POST /issue/x", "id" + i, "issue", 900)
                                 + "Transfer-Encoding: chunked\r\n\r\n"
                                 + chunked(new byte[size], chunk))
                         .getBytes(ISO_8859_1);
@@ -497,19 +505,20 @@
         Script takes = (message, on) -> {
             if (message.header("Transfer-Encoding") != null) {
                 dechunked(on.getInputStream());
-                answer("200 OK", "u").play(message, on);
+                answer("200 OK", "u").run(message, on);
             }
         };
         try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 1, \"wait-share\": 0.9}", takes)) {
             Socket before = testbed.connect();
-            before.getOutputStream().write(SidecarFixture.read("before", 200).getBytes(ISO_8859_1));
+            before.getOutputStream()
+                    .write(SidecarFixture.readRequest("before", 200).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             Socket client = testbed.connect();
-            String head =
-                    SidecarFixture.head("POST /issue/x", "id", "issue", 900) + "Transfer-Encoding: chunked\r\n\r\n";
+            String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900)
+                    + "Transfer-Encoding: chunked\r\n\r\n";
             String first = Integer.toHexString(66_000) + "\r\n" + "x".repeat(66_000) + "\r\n3";
             client.getOutputStream().write((head + first).getBytes(ISO_8859_1));
-            HeldEventLoop.settled(testbed.sidecar.loop);
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
             client.getOutputStream().write(("2\r\n" + "y".repeat(0x32) + "\r\n0\r\n\r\n").getBytes(ISO_8859_1));
             Message got = Message.read(client.getInputStream());
             assertNotNull(got, "the connection ended without a response");
@@ -522,10 +531,12 @@
         Script full = answer("503 No\r\nX-Never-Ran: 1", "");
         try (SidecarFixture testbed = new SidecarFixture(full, full)) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900) + "Content-Length: 100000\r\n\r\n";
+            String head =
+                    SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900) + "Content-Length: 100000\r\n\r\n";
             assertEquals(
-                    429, SidecarFixture.ask(client, head + "x".repeat(100_000)).status());
-            assertEquals(1, testbed.sent());
+                    429,
+                    SidecarFixture.exchange(client, head + "x".repeat(100_000)).status());
+            assertEquals(1, testbed.receivedCount());
         }
     }
 
@@ -533,14 +544,15 @@
     void aClientThatStopsInALongBodyIsClosedAndNothingRuns() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900) + "Content-Length: 100000\r\n\r\n";
+            String head =
+                    SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900) + "Content-Length: 100000\r\n\r\n";
             client.getOutputStream().write((head + "x".repeat(80_000)).getBytes(ISO_8859_1));
             long start = System.nanoTime();
             assertEquals(-1, client.getInputStream().read());
             double took = (System.nanoTime() - start) / 1e9;
             assertTrue(took > 2 && took < 3.5, "took " + took);
             assertTrue(testbed.upstreams.get(0).next().body().length < 100_000, "it was executed");
-            assertTrue(testbed.upstreams.get(0).ended.poll(1, TimeUnit.SECONDS) != null, "waits on");
+            assertTrue(testbed.upstreams.get(0).closed.poll(1, TimeUnit.SECONDS) != null, "waits on");
         }
     }
 
@@ -555,8 +567,8 @@
         try (SidecarFixture testbed = new SidecarFixture(big)) {
             Socket slow = testbed.connect();
             Socket stuck = testbed.connect();
-            slow.getOutputStream().write(SidecarFixture.read("a", 900).getBytes(ISO_8859_1));
-            stuck.getOutputStream().write(SidecarFixture.read("b", 900).getBytes(ISO_8859_1));
+            slow.getOutputStream().write(SidecarFixture.readRequest("a", 900).getBytes(ISO_8859_1));
+            stuck.getOutputStream().write(SidecarFixture.readRequest("b", 900).getBytes(ISO_8859_1));
             long got = 0;
             byte[] some = new byte[16_384];
             long start = System.nanoTime();
@@ -565,7 +577,7 @@
                 Thread.sleep(20);
             }
             SidecarFixture.ScriptedServer upstream = testbed.upstreams.get(0);
-            assertTrue(upstream.ended.poll(1, TimeUnit.SECONDS) != null, "still written to");
+            assertTrue(upstream.closed.poll(1, TimeUnit.SECONDS) != null, "still written to");
             for (int count = 0;
                     count >= 0 && got < body.length;
                     count = slow.getInputStream().read(some)) {
@@ -583,10 +595,10 @@
             whole.set(true);
         })) {
             Socket client = testbed.connect();
-            String head = SidecarFixture.head("POST /issue/x", "id", "issue", 900);
+            String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 900);
             assertEquals(
                     413,
-                    SidecarFixture.ask(client, head + "Content-Length: 60000000\r\n\r\nabc")
+                    SidecarFixture.exchange(client, head + "Content-Length: 60000000\r\n\r\nabc")
                             .status());
             Socket endless = testbed.connect();
             endless.getOutputStream().write((head + "Transfer-Encoding: chunked\r\n\r\n").getBytes(ISO_8859_1));
@@ -609,7 +621,7 @@
     void aHeadMayTakeTwoSeconds() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
-            byte[] head = SidecarFixture.read("a", 900).getBytes(ISO_8859_1);
+            byte[] head = SidecarFixture.readRequest("a", 900).getBytes(ISO_8859_1);
             for (int i = 0; i < 10; i++) {
                 int from = head.length * i / 10;
                 client.getOutputStream().write(head, from, head.length * (i + 1) / 10 - from);
@@ -622,13 +634,15 @@
     @Test
     void absoluteFormHttp10AndRepeatedHeadersPass() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK\r\nX-A: 1\r\nX-A: 2", "u"))) {
-            String absolute = SidecarFixture.head("GET http://app.svc/read/x?n=%2F", "a", "read", 900);
-            assertEquals(200, testbed.ask(absolute + "X-B: 1\r\nX-B: 2\r\n\r\n").status());
+            String absolute = SidecarFixture.requestHead("GET http://app.svc/read/x?n=%2F", "a", "read", 900);
+            assertEquals(
+                    200, testbed.exchange(absolute + "X-B: 1\r\nX-B: 2\r\n\r\n").status());
             Message sent = testbed.upstreams.get(0).next();
-            assertEquals("GET /read/x?n=%2F HTTP/1.1", sent.first());
+            assertEquals("GET /read/x?n=%2F HTTP/1.1", sent.startLine());
             assertEquals("2", sent.header("X-B"));
             Socket old = testbed.connect();
-            Message got = SidecarFixture.ask(old, SidecarFixture.read("b", 900).replace("HTTP/1.1", "HTTP/1.0"));
+            Message got = SidecarFixture.exchange(
+                    old, SidecarFixture.readRequest("b", 900).replace("HTTP/1.1", "HTTP/1.0"));
             assertEquals(200, got.status());
             assertEquals(-1, old.getInputStream().read());
         }
--- a/daemon/src/test/java/portrelay/net/ManualEventLoop.java
+++ b/daemon/src/test/java/portrelay/net/ManualEventLoop.java
@@ -8,16 +8,18 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.MonotonicClock;
 
-/** An event loop on a real I/O thread whose clock and timers move only when a test moves them. */
+/**
+ * An event loop on a real I/O thread whose clock stands still and whose timers are pending until a test advances it.
+ */
 final class ManualEventLoop extends EventLoop {
 
     private static final class Timer implements XnioExecutor.Key {
-        private final double at;
+        private final double dueAt;
         private final Runnable task;
         private boolean isDone;
 
-        Timer(double at, Runnable task) {
-            this.at = at;
+        Timer(double dueAt, Runnable task) {
+            this.dueAt = dueAt;
             this.task = task;
         }
 
@@ -48,22 +50,25 @@
         return timer;
     }
 
-    /** On the loop: moves the clock and runs the timers that are due by then, in the order of their times. */
-    void forward(double seconds) {
-        double to = now + seconds;
+    /**
+     * Advances the clock and runs the timers that are due by then, in the order of their times; only on the loop's
+     * thread.
+     */
+    void advance(double seconds) {
+        double end = now + seconds;
         while (true) {
             Timer next = timers.stream()
-                    .filter(each -> !each.isDone && each.at <= to)
-                    .min(Comparator.comparingDouble(each -> each.at))
+                    .filter(timer -> !timer.isDone && timer.dueAt <= end)
+                    .min(Comparator.comparingDouble(timer -> timer.dueAt))
                     .orElse(null);
             if (next == null) {
                 break;
             }
             timers.remove(next);
             next.isDone = true;
-            now = Math.max(now, next.at);
+            now = Math.max(now, next.dueAt);
             next.task.run();
         }
-        now = to;
+        now = end;
     }
 }
--- a/daemon/src/test/java/portrelay/net/ManyUpstreamsNetTest.java
+++ b/daemon/src/test/java/portrelay/net/ManyUpstreamsNetTest.java
@@ -55,21 +55,28 @@
                                 .replace(
                                         "\"hosts\":[]",
                                         "\"hosts\":["
-                                                + rows(i -> SidecarFixture.host("s-" + i, before.address(), "SERVING"))
+                                                + rows(i -> SidecarFixture.endpointRow(
+                                                        "s-" + i, before.address(), "SERVING"))
                                                 + "]"))) {
             assertEquals(
                     "before",
-                    new String(fixture.ask(SidecarFixture.read("a", 900)).body(), ISO_8859_1));
+                    new String(
+                            fixture.exchange(SidecarFixture.readRequest("a", 900))
+                                    .body(),
+                            ISO_8859_1));
             fixture.discovery.next();
-            String moved = rows(i -> SidecarFixture.host("s-" + i, after.address(), "SERVING"));
+            String moved = rows(i -> SidecarFixture.endpointRow("s-" + i, after.address(), "SERVING"));
             answer("200 OK", "{\"seq\":9,\"whole\":true,\"hosts\":[" + moved + "]}")
-                    .play(null, fixture.discovery.accepted.get(0));
-            String next = fixture.discovery.next().first();
+                    .run(null, fixture.discovery.accepted.get(0));
+            String next = fixture.discovery.next().startLine();
             assertTrue(next.startsWith("GET /discovery/hosts?index=9&wait="), next);
             for (String id : List.of("b", "c", "d")) {
                 assertEquals(
                         "after",
-                        new String(fixture.ask(SidecarFixture.read(id, 900)).body(), ISO_8859_1));
+                        new String(
+                                fixture.exchange(SidecarFixture.readRequest(id, 900))
+                                        .body(),
+                                ISO_8859_1));
             }
         }
     }
--- a/daemon/src/test/java/portrelay/net/MigrateNetTest.java
+++ b/daemon/src/test/java/portrelay/net/MigrateNetTest.java
@@ -91,16 +91,17 @@
     void theMigratedConfigurationServesAndWhatWasLeftOutIsNamed() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(SidecarFixture.answer("200 OK", "here"));
                 ScriptedServer discovery = new ScriptedServer((message, on) -> {
-                    if (!message.first().contains("index=")) {
+                    if (!message.startLine().contains("index=")) {
                         SidecarFixture.answer(
                                         "200 OK",
                                         "{\"seq\":9,\"whole\":true,\"hosts\":["
-                                                + SidecarFixture.host("s-0", upstreamAddress, "SERVING") + "]}")
-                                .play(message, on);
+                                                + SidecarFixture.endpointRow("s-0", upstreamAddress, "SERVING") + "]}")
+                                .run(message, on);
                     }
                 })) {
             upstreamAddress = upstream.address();
-            String known = "{\"seq\":1,\"hosts\":[" + SidecarFixture.host("s-9", "127.0.0.1:1", "SERVING") + "]}";
+            String known =
+                    "{\"seq\":1,\"hosts\":[" + SidecarFixture.endpointRow("s-9", "127.0.0.1:1", "SERVING") + "]}";
             String old = SidecarFixture.config(discovery.address(), known, 256);
             files(old.replace("\"siblings\":1", "\"siblings\":1,\"family-info\":{\"warm-keys\":false}"), SHAPE);
             assertEquals(1, migrate("--out", at("new.json")));
@@ -118,7 +119,7 @@
                 var at = sidecar.address();
                 try (Socket client = new Socket(at.getAddress(), at.getPort())) {
                     client.setSoTimeout(5000);
-                    byte[] body = SidecarFixture.ask(client, SidecarFixture.read("a", 900))
+                    byte[] body = SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
                             .body();
                     assertEquals("here", new String(body, ISO_8859_1));
                 }
--- a/daemon/src/test/java/portrelay/net/NetTest.java
+++ b/daemon/src/test/java/portrelay/net/NetTest.java
@@ -11,8 +11,8 @@
 import static portrelay.net.SidecarFixture.RESET;
 import static portrelay.net.SidecarFixture.SILENT;
 import static portrelay.net.SidecarFixture.answer;
-import static portrelay.net.SidecarFixture.raw;
-import static portrelay.net.SidecarFixture.said;
+import static portrelay.net.SidecarFixture.sendBytes;
+import static portrelay.net.SidecarFixture.sendBytesAndClose;
 
 import java.io.BufferedReader;
 import java.net.ConnectException;
@@ -45,11 +45,11 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK\r\nX-Made-By: u", "yes"))) {
             String line = "POST /save/a%2Fb//c;d=1/../%7e?x=%20y&&z=+&?";
             String body = "\u0000\u00ff\r\n\r\nGET";
-            Message got = testbed.ask(SidecarFixture.head(line, "id-1", "save", 900)
+            Message got = testbed.exchange(SidecarFixture.requestHead(line, "id-1", "save", 900)
                     + "Idempotency-Key: K/=~\r\nX-Other: o\r\nConnection: X-Hop\r\nX-Hop: h\r\n"
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body);
             Message sent = testbed.upstreams.get(0).next();
-            assertEquals(line + " HTTP/1.1", sent.first());
+            assertEquals(line + " HTTP/1.1", sent.startLine());
             assertArrayEquals(body.getBytes(ISO_8859_1), sent.body());
             assertEquals("id-1", sent.header("X-Trace-Id"));
             assertEquals("K/=~", sent.header("Idempotency-Key"));
@@ -70,21 +70,26 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", ""))) {
             Socket client = testbed.connect();
             assertEquals(
-                    0, SidecarFixture.ask(client, SidecarFixture.read("a", 900)).body().length);
+                    0,
+                    SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
+                            .body()
+                            .length);
             // A connection is not reused within 10 ms.
             Thread.sleep(20);
             testbed.upstreams.get(0).script = (m, on) -> on.getOutputStream().write(chunked.getBytes(ISO_8859_1));
             assertEquals(
                     "abc",
                     new String(
-                            SidecarFixture.ask(client, SidecarFixture.read("b", 900))
+                            SidecarFixture.exchange(client, SidecarFixture.readRequest("b", 900))
                                     .body(),
                             ISO_8859_1));
             Thread.sleep(20);
             testbed.upstreams.get(0).script = answer("200 OK", longest);
             assertEquals(
                     400_000,
-                    SidecarFixture.ask(client, SidecarFixture.read("c", 900)).body().length);
+                    SidecarFixture.exchange(client, SidecarFixture.readRequest("c", 900))
+                            .body()
+                            .length);
             assertEquals(1, testbed.upstreams.get(0).accepted.size());
         }
     }
@@ -95,15 +100,19 @@
     void whatWasNotExecutedIsRetriedElsewhereEvenWhereItMustNotRunTwice() throws Exception {
         for (String proof : List.of("503 Busy\r\nX-Never-Ran: 1", "504 Late\r\nX-Never-Ran: 1")) {
             try (SidecarFixture testbed = new SidecarFixture(answer(proof, ""), answer(proof, ""))) {
-                assertEquals(429, testbed.ask(SidecarFixture.issue("a", 900)).status());
-                assertEquals(2, testbed.sent());
+                assertEquals(
+                        429,
+                        testbed.exchange(SidecarFixture.issueRequest("a", 900)).status());
+                assertEquals(2, testbed.receivedCount());
             }
         }
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"), answer("200 OK", "u"))) {
             testbed.upstreams.get(0).close();
             for (int i = 0; i < 8; i++) {
                 assertEquals(
-                        200, testbed.ask(SidecarFixture.issue("q" + i, 900)).status());
+                        200,
+                        testbed.exchange(SidecarFixture.issueRequest("q" + i, 900))
+                                .status());
             }
         }
     }
@@ -115,19 +124,19 @@
                 answer("500 No", ""),
                 answer("503 No", ""),
                 answer("404 No", ""),
-                raw("garbage\r\n\r\n"),
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
-                raw("HTTP/1.1 200 OK\r\n\r\nwhere does it end"),
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 37748737\r\n\r\nx"),
-                raw("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n"),
-                raw("HTTP/1.1 200 OK\r\nContent-Length: z\r\n\r\n"),
-                raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
-                raw(""));
+                sendBytesAndClose("garbage\r\n\r\n"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\n\r\nwhere does it end"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: 37748737\r\n\r\nx"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: z\r\n\r\n"),
+                sendBytesAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
+                sendBytesAndClose(""));
         for (Script each : maybeExecuted) {
             try (SidecarFixture testbed = new SidecarFixture(each, each)) {
-                Message got = testbed.ask(SidecarFixture.issue("a", 900));
+                Message got = testbed.exchange(SidecarFixture.issueRequest("a", 900));
                 assertEquals(502, got.status(), "case " + maybeExecuted.indexOf(each));
-                assertEquals(1, testbed.sent(), "case " + maybeExecuted.indexOf(each));
+                assertEquals(1, testbed.receivedCount(), "case " + maybeExecuted.indexOf(each));
             }
         }
     }
@@ -150,12 +159,15 @@
                 ok + "\r\n",
                 "HTTP/1.1 102 On\r\n\r\n".repeat(3000));
         for (String each : malformed) {
-            try (SidecarFixture testbed = new SidecarFixture(said(each), said(each))) {
+            try (SidecarFixture testbed = new SidecarFixture(sendBytes(each), sendBytes(each))) {
                 long start = System.nanoTime();
                 String what = each.substring(0, Math.min(60, each.length()));
-                assertEquals(502, testbed.ask(SidecarFixture.issue("a", 900)).status(), what);
+                assertEquals(
+                        502,
+                        testbed.exchange(SidecarFixture.issueRequest("a", 900)).status(),
+                        what);
                 assertTrue(System.nanoTime() - start < 0.5e9, "late for " + what);
-                assertEquals(1, testbed.sent(), what);
+                assertEquals(1, testbed.receivedCount(), what);
             }
         }
     }
@@ -173,9 +185,9 @@
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + good,
                 good.replace("Content-Length", "Endpoint-Load-Metrics: \u0000\u0001{\u00ff=;;\r\nContent-Length"));
         for (String each : besides) {
-            try (SidecarFixture testbed = new SidecarFixture(said(each))) {
+            try (SidecarFixture testbed = new SidecarFixture(sendBytes(each))) {
                 for (int i = 0; i < 5; i++) {
-                    Message got = testbed.ask(SidecarFixture.issue("q" + i, 900));
+                    Message got = testbed.exchange(SidecarFixture.issueRequest("q" + i, 900));
                     assertEquals(200, got.status(), each);
                     assertEquals("me", new String(got.body(), ISO_8859_1), each);
                 }
@@ -187,10 +199,11 @@
     void silenceFailsAtTheDeadlineAndTheConnectionIsClosed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             long start = System.nanoTime();
-            assertEquals(502, testbed.ask(SidecarFixture.issue("a", 300)).status());
+            assertEquals(
+                    502, testbed.exchange(SidecarFixture.issueRequest("a", 300)).status());
             double took = (System.nanoTime() - start) / 1e9;
             assertTrue(took > 0.25, "took " + took);
-            assertNotNull(testbed.upstreams.get(0).ended.poll(5, TimeUnit.SECONDS));
+            assertNotNull(testbed.upstreams.get(0).closed.poll(5, TimeUnit.SECONDS));
         }
     }
 
@@ -198,30 +211,32 @@
     void aHedgedRequestWinsAndTheOtherIsCancelledByClosing() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT, SILENT)) {
             Socket client = testbed.connect();
-            client.getOutputStream().write(SidecarFixture.read("a", 800).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.readRequest("a", 800).getBytes(ISO_8859_1));
             ScriptedServer first = testbed.upstreams.get(0);
             ScriptedServer second = testbed.upstreams.get(1);
-            while (first.seen.isEmpty() && second.seen.isEmpty()) {
+            while (first.received.isEmpty() && second.received.isEmpty()) {
                 Thread.onSpinWait();
             }
-            ScriptedServer hedged = first.seen.isEmpty() ? first : second;
+            ScriptedServer hedged = first.received.isEmpty() ? first : second;
             hedged.script = answer("200 OK", "hedged");
             assertEquals(
                     "hedged", new String(Message.read(client.getInputStream()).body(), ISO_8859_1));
-            assertNotNull((hedged == first ? second : first).ended.poll(5, TimeUnit.SECONDS));
-            assertTrue(hedged.ended.isEmpty());
+            assertNotNull((hedged == first ? second : first).closed.poll(5, TimeUnit.SECONDS));
+            assertTrue(hedged.closed.isEmpty());
         }
     }
 
     @Test
     void withoutUpstreamsARequestIsRejectedWithADecimalRetryAfter() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture()) {
-            Message got = testbed.ask(SidecarFixture.read("a", 900));
+            Message got = testbed.exchange(SidecarFixture.readRequest("a", 900));
             assertEquals(429, got.status());
             assertEquals("0.25", got.header("Retry-After"));
             for (int i = 0; i < 20; i++) {
                 // Its deadline and its time in the queue end in one moment: still a rejection, not a failure.
-                assertEquals(429, testbed.ask(SidecarFixture.read("b" + i, 1)).status());
+                assertEquals(
+                        429,
+                        testbed.exchange(SidecarFixture.readRequest("b" + i, 1)).status());
             }
         }
     }
@@ -233,7 +248,7 @@
             Socket client = testbed.connect();
             Set<String> servedBy = new HashSet<>();
             for (int i = 0; i < 40; i++) {
-                Message got = SidecarFixture.ask(client, SidecarFixture.issue("q" + i, 900));
+                Message got = SidecarFixture.exchange(client, SidecarFixture.issueRequest("q" + i, 900));
                 assertEquals(200, got.status());
                 servedBy.add(new String(got.body(), ISO_8859_1));
             }
@@ -245,17 +260,18 @@
     void aCancelledAttemptsConnectionIsGivenBackThoughTheOtherEndKeepsItOpen() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(4, SILENT, SILENT)) {
             Socket first = testbed.connect();
-            first.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
-            while (testbed.sent() == 0) {
+            first.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
+            while (testbed.receivedCount() == 0) {
                 Thread.onSpinWait();
             }
             first.close();
-            int at = testbed.upstreams.get(0).seen.isEmpty() ? 1 : 0;
-            assertNotNull(testbed.upstreams.get(at).ended.poll(5, TimeUnit.SECONDS));
+            int at = testbed.upstreams.get(0).received.isEmpty() ? 1 : 0;
+            assertNotNull(testbed.upstreams.get(at).closed.poll(5, TimeUnit.SECONDS));
             for (ScriptedServer each : testbed.upstreams) {
                 each.script = answer("200 OK", "u");
             }
-            assertEquals(200, testbed.ask(SidecarFixture.issue("b", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
         }
     }
 
@@ -263,7 +279,7 @@
 
     @Test
     void malformedRequestsAreRejectedAndNeverForwarded() throws Exception {
-        String good = SidecarFixture.head("GET /read/x", "id", "read", 500);
+        String good = SidecarFixture.requestHead("GET /read/x", "id", "read", 500);
         List<String> bad = List.of(
                 "nonsense\r\n\r\n",
                 good.replace("X-Trace-Id: id\r\n", "") + "\r\n",
@@ -279,18 +295,18 @@
                 good.replace("500", "99999999999") + "\r\n",
                 good.replace("GET", "POST") + "Content-Length: 0\r\n\r\n",
                 good + "Content-Length: 2\r\n\r\nhi",
-                SidecarFixture.head("POST /save/x", "id", "save", 500) + "Content-Length: 0\r\n\r\n",
-                SidecarFixture.head("POST /issue/x", "id", "issue", 500) + "Content-Length: 37748737\r\n\r\n",
-                SidecarFixture.head("POST /issue/x", "id", "issue", 500) + "Content-Length: 2000000000\r\n\r\n",
-                SidecarFixture.head("POST /issue/x", "id", "issue", 500) + "Content-Length: x\r\n\r\n",
+                SidecarFixture.requestHead("POST /save/x", "id", "save", 500) + "Content-Length: 0\r\n\r\n",
+                SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500) + "Content-Length: 37748737\r\n\r\n",
+                SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500) + "Content-Length: 2000000000\r\n\r\n",
+                SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500) + "Content-Length: x\r\n\r\n",
                 good.replace("X-Qos: read", "X-Qos:\r\n read") + "\r\n");
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             for (String each : bad) {
-                int status = testbed.ask(each).status();
+                int status = testbed.exchange(each).status();
                 assertTrue(status >= 400 && status < 500 && status != 429, status + " to " + each);
             }
-            assertEquals(200, testbed.ask(good + "\r\n").status());
-            assertEquals(1, testbed.sent());
+            assertEquals(200, testbed.exchange(good + "\r\n").status());
+            assertEquals(1, testbed.receivedCount());
         }
     }
 
@@ -298,10 +314,10 @@
     void aClientThatLeavesCancelsItsAttempt() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket client = testbed.connect();
-            client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             client.close();
-            assertNotNull(testbed.upstreams.get(0).ended.poll(800, TimeUnit.MILLISECONDS));
+            assertNotNull(testbed.upstreams.get(0).closed.poll(800, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -310,15 +326,16 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
             client.getOutputStream()
-                    .write((SidecarFixture.read("a", 900) + SidecarFixture.read("b", 900)).getBytes(ISO_8859_1));
+                    .write((SidecarFixture.readRequest("a", 900) + SidecarFixture.readRequest("b", 900))
+                            .getBytes(ISO_8859_1));
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
-            assertEquals(2, testbed.sent());
-            String two = SidecarFixture.issue("c", 900) + SidecarFixture.issue("d", 900);
+            assertEquals(2, testbed.receivedCount());
+            String two = SidecarFixture.issueRequest("c", 900) + SidecarFixture.issueRequest("d", 900);
             client.getOutputStream().write(two.getBytes(ISO_8859_1));
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
-            assertEquals(4, testbed.sent());
+            assertEquals(4, testbed.receivedCount());
         }
     }
 
@@ -328,14 +345,16 @@
             testbed.connect();
             Socket open = testbed.connect();
             assertEquals(
-                    200, SidecarFixture.ask(open, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(open, SidecarFixture.readRequest("a", 900))
+                            .status());
             long start = System.nanoTime();
             Thread drain = new Thread(testbed.sidecar::drain);
             drain.start();
-            while (testbed.ask("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() != 503) {
+            while (testbed.exchange("GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() != 503) {
                 Thread.onSpinWait();
             }
-            Message early = testbed.ask(SidecarFixture.read("b", 900));
+            Message early = testbed.exchange(SidecarFixture.readRequest("b", 900));
             assertEquals(200, early.status());
             long gone = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             while (accepts(testbed)) {
@@ -343,7 +362,7 @@
                 Thread.sleep(20);
             }
             assertTrue(System.nanoTime() - start > 0.5e9, "no longer accepts");
-            Message late = SidecarFixture.ask(open, SidecarFixture.read("c", 900));
+            Message late = SidecarFixture.exchange(open, SidecarFixture.readRequest("c", 900));
             assertEquals(200, late.status());
             assertNull(late.header("Connection"));
             ScriptedServer upstream = testbed.upstreams.get(0);
@@ -352,7 +371,8 @@
             Thread.sleep(300);
             assertEquals(
                     502,
-                    SidecarFixture.ask(open, SidecarFixture.issue("d", 2000)).status());
+                    SidecarFixture.exchange(open, SidecarFixture.issueRequest("d", 2000))
+                            .status());
             assertTrue(System.nanoTime() - start < 1.7e9, "answered after the end");
             drain.join();
             assertTrue(System.nanoTime() - start < 1.8e9, "ended late");
@@ -371,14 +391,15 @@
             long start = System.nanoTime();
             Thread drain = new Thread(testbed.sidecar::drain);
             drain.start();
-            while (SidecarFixture.ask(open, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+            while (SidecarFixture.exchange(open, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                             .status()
                     != 503) {
                 Thread.onSpinWait();
             }
             assertEquals(
                     502,
-                    SidecarFixture.ask(open, SidecarFixture.issue("a", 5500)).status());
+                    SidecarFixture.exchange(open, SidecarFixture.issueRequest("a", 5500))
+                            .status());
             assertTrue(System.nanoTime() - start < 3.7e9, "answered after SIGKILL");
             drain.join();
         }
@@ -387,7 +408,8 @@
     @Test
     void drainingEndsWhenAllClientsHaveGone() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
-            assertEquals(200, testbed.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             testbed.clients.get(0).close();
             long start = System.nanoTime();
             testbed.sidecar.drain();
@@ -414,7 +436,8 @@
             for (int i = 0; i < 60; i++) {
                 silent.add(testbed.connect());
             }
-            assertEquals(200, testbed.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             assertTrue(System.nanoTime() - start < 1.5e9, "locked out for " + (System.nanoTime() - start) / 1e9);
             for (Socket each : silent) {
                 assertEquals(-1, each.getInputStream().read());
@@ -425,7 +448,7 @@
 
     @Test
     void headsAndBodiesThatDoNotEndAreEndedWithinThreeSeconds() throws Exception {
-        String head = SidecarFixture.head("POST /issue/x", "id", "issue", 500);
+        String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500);
         List<String> endless = List.of(
                 "GET /read/x HT",
                 head,
@@ -444,14 +467,14 @@
                 assertTrue(got == null || got.status() >= 400, "got " + got);
             }
             assertTrue(System.nanoTime() - start < 3e9, "took " + (System.nanoTime() - start) / 1e9);
-            assertEquals(0, testbed.sent());
+            assertEquals(0, testbed.receivedCount());
         }
     }
 
     @Test
     void aRequestThatHidesAnotherOrIsTooLongEndsItsConnection() throws Exception {
-        String hidden = SidecarFixture.read("hidden", 900);
-        String head = SidecarFixture.head("POST /issue/x", "id", "issue", 500);
+        String hidden = SidecarFixture.readRequest("hidden", 900);
+        String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500);
         List<String> bad = List.of(
                 head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
                 head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi" + hidden,
@@ -465,7 +488,7 @@
             for (String each : bad) {
                 Socket client = testbed.connect();
                 long start = System.nanoTime();
-                Message got = SidecarFixture.ask(client, each);
+                Message got = SidecarFixture.exchange(client, each);
                 int status = got == null ? 400 : got.status();
                 assertTrue(status >= 400 && status < 500 && status != 429, status + " to " + each);
                 try {
@@ -475,7 +498,7 @@
                 }
                 assertTrue(System.nanoTime() - start < 1e9, "slow at " + each);
             }
-            assertEquals(0, testbed.sent());
+            assertEquals(0, testbed.receivedCount());
         }
     }
 
@@ -483,10 +506,11 @@
     void aRequestWithAnOpenIdIsRejectedAndTheOpenOneIsAnswered() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket first = testbed.connect();
-            first.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            first.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
-            assertEquals(409, testbed.ask(SidecarFixture.issue("a", 900)).status());
-            answer("200 OK", "u").play(null, testbed.upstreams.get(0).accepted.get(0));
+            assertEquals(
+                    409, testbed.exchange(SidecarFixture.issueRequest("a", 900)).status());
+            answer("200 OK", "u").run(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(first.getInputStream()).status());
         }
     }
@@ -498,13 +522,16 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             ScriptedServer upstream = testbed.upstreams.get(0);
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, testbed.ask(SidecarFixture.read("q" + i, 900)).status());
+                assertEquals(
+                        200,
+                        testbed.exchange(SidecarFixture.readRequest("q" + i, 900))
+                                .status());
                 // A connection is not reused within 10 ms.
                 Thread.sleep(20);
             }
             assertEquals(1, upstream.accepted.size());
             long rests = System.nanoTime();
-            assertNotNull(upstream.ended.poll(5, TimeUnit.SECONDS));
+            assertNotNull(upstream.closed.poll(5, TimeUnit.SECONDS));
             double rested = (System.nanoTime() - rests) / 1e9;
             assertTrue(rested > 0.3 && rested < 0.9, "closed after " + rested);
         }
@@ -515,16 +542,20 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK\r\nConnection: close", "u"))) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
-                        200, testbed.ask(SidecarFixture.issue("q" + i, 900)).status());
+                        200,
+                        testbed.exchange(SidecarFixture.issueRequest("q" + i, 900))
+                                .status());
             }
             assertEquals(3, testbed.upstreams.get(0).accepted.size());
         }
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             ScriptedServer upstream = testbed.upstreams.get(0);
-            assertEquals(200, testbed.ask(SidecarFixture.issue("a", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.issueRequest("a", 900)).status());
             upstream.accepted.get(0).shutdownOutput();
-            assertNotNull(upstream.ended.poll(300, TimeUnit.MILLISECONDS), "a dead connection is kept");
-            assertEquals(200, testbed.ask(SidecarFixture.issue("b", 900)).status());
+            assertNotNull(upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a dead connection is kept");
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
         }
     }
 
@@ -535,16 +566,24 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "old"));
                 ScriptedServer moved = new ScriptedServer(answer("200 OK", "new"))) {
             assertEquals(
-                    "old", new String(testbed.ask(SidecarFixture.read("a", 900)).body(), ISO_8859_1));
-            String target = testbed.discovery.next().first();
+                    "old",
+                    new String(
+                            testbed.exchange(SidecarFixture.readRequest("a", 900))
+                                    .body(),
+                            ISO_8859_1));
+            String target = testbed.discovery.next().startLine();
             assertTrue(target.startsWith("GET /discovery/hosts?index=7&wait="), target);
             testbed.discovery.script = SILENT;
-            String row = SidecarFixture.host("s-0", moved.address(), "SERVING");
+            String row = SidecarFixture.endpointRow("s-0", moved.address(), "SERVING");
             answer("200 OK", "{\"seq\":9,\"whole\":false,\"hosts\":[" + row + "]}")
-                    .play(null, testbed.discovery.accepted.get(0));
-            assertTrue(testbed.discovery.next().first().startsWith("GET /discovery/hosts?index=9&wait="));
+                    .run(null, testbed.discovery.accepted.get(0));
+            assertTrue(testbed.discovery.next().startLine().startsWith("GET /discovery/hosts?index=9&wait="));
             assertEquals(
-                    "new", new String(testbed.ask(SidecarFixture.read("b", 900)).body(), ISO_8859_1));
+                    "new",
+                    new String(
+                            testbed.exchange(SidecarFixture.readRequest("b", 900))
+                                    .body(),
+                            ISO_8859_1));
             assertEquals(1, testbed.discovery.accepted.size());
         }
     }
@@ -553,14 +592,16 @@
     void aDrainingUpstreamIsSentNothingMore() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "0"), answer("200 OK", "1"))) {
             testbed.discovery.next();
-            answer("200 OK", "{\"seq\":9,\"whole\":false,\"hosts\":[" + testbed.host(0, "DRAINING") + "]}")
-                    .play(null, testbed.discovery.accepted.get(0));
+            answer("200 OK", "{\"seq\":9,\"whole\":false,\"hosts\":[" + testbed.endpointRow(0, "DRAINING") + "]}")
+                    .run(null, testbed.discovery.accepted.get(0));
             testbed.discovery.next();
             for (int i = 0; i < 20; i++) {
                 assertEquals(
                         "1",
                         new String(
-                                testbed.ask(SidecarFixture.read("q" + i, 900)).body(), ISO_8859_1));
+                                testbed.exchange(SidecarFixture.readRequest("q" + i, 900))
+                                        .body(),
+                                ISO_8859_1));
             }
         }
     }
@@ -569,13 +610,15 @@
     void connectionsToAnEndpointThatIsGoneAreClosedAndAnotherAtItsAddressSharesNothing() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             ScriptedServer upstream = testbed.upstreams.get(0);
-            assertEquals(200, testbed.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             testbed.discovery.next();
-            String row = SidecarFixture.host("s-other", upstream.address(), "SERVING");
+            String row = SidecarFixture.endpointRow("s-other", upstream.address(), "SERVING");
             answer("200 OK", "{\"seq\":9,\"whole\":true,\"hosts\":[" + row + "]}")
-                    .play(null, testbed.discovery.accepted.get(0));
-            assertNotNull(upstream.ended.poll(300, TimeUnit.MILLISECONDS), "a connection to none is kept");
-            assertEquals(200, testbed.ask(SidecarFixture.read("b", 900)).status());
+                    .run(null, testbed.discovery.accepted.get(0));
+            assertNotNull(upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a connection to none is kept");
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.readRequest("b", 900)).status());
             assertEquals(2, upstream.accepted.size());
         }
     }
@@ -591,9 +634,11 @@
         for (String each : bad) {
             try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
                 testbed.discovery.next();
-                answer("200 OK", each).play(null, testbed.discovery.accepted.get(0));
-                assertTrue(testbed.discovery.next().first().contains("index=7"), each);
-                assertEquals(200, testbed.ask(SidecarFixture.read("a", 900)).status());
+                answer("200 OK", each).run(null, testbed.discovery.accepted.get(0));
+                assertTrue(testbed.discovery.next().startLine().contains("index=7"), each);
+                assertEquals(
+                        200,
+                        testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             }
         }
     }
@@ -603,18 +648,20 @@
         String list = "{\"seq\":3,\"whole\":true,\"hosts\":[]}";
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"));
                 ScriptedServer second = new ScriptedServer(SILENT)) {
-            assertTrue(testbed.discovery.next().first().contains("index=7"));
+            assertTrue(testbed.discovery.next().startLine().contains("index=7"));
             testbed.reload(second.address());
-            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
-            assertNotNull(testbed.discovery.ended.poll(1, TimeUnit.SECONDS), "the old connection stays");
-            assertEquals(200, testbed.ask(SidecarFixture.read("a", 900)).status());
-            answer("200 OK", list).play(null, second.accepted.get(0));
-            assertTrue(second.next().first().contains("index=3"));
-            assertEquals(429, testbed.ask(SidecarFixture.read("b", 900)).status());
+            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
+            assertNotNull(testbed.discovery.closed.poll(1, TimeUnit.SECONDS), "the old connection stays");
+            assertEquals(
+                    200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
+            answer("200 OK", list).run(null, second.accepted.get(0));
+            assertTrue(second.next().startLine().contains("index=3"));
+            assertEquals(
+                    429, testbed.exchange(SidecarFixture.readRequest("b", 900)).status());
             testbed.reload(testbed.discovery.address());
             assertEquals(
-                    "GET /discovery/hosts HTTP/1.1", testbed.discovery.next().first());
-            assertNotNull(second.ended.poll(1, TimeUnit.SECONDS), "the second connection stays");
+                    "GET /discovery/hosts HTTP/1.1", testbed.discovery.next().startLine());
+            assertNotNull(second.closed.poll(1, TimeUnit.SECONDS), "the second connection stays");
         }
     }
 
@@ -643,7 +690,7 @@
                 awaitLine(log, "configuration reload failed, the old one stays");
                 Files.writeString(file, SidecarFixture.config(second.address(), none, 1024));
                 new ProcessBuilder("kill", "-HUP", "" + serve.pid()).start().waitFor();
-                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
+                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
                 assertTrue(serve.isAlive());
             } finally {
                 serve.destroy();
--- a/daemon/src/test/java/portrelay/net/PeersNetTest.java
+++ b/daemon/src/test/java/portrelay/net/PeersNetTest.java
@@ -80,23 +80,28 @@
         try (DatagramSocket other = socket();
                 SidecarFixture fixture = new SidecarFixture(
                         1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"), answer("200 OK", "u"))) {
-            assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
             String begun = next(other);
             String ended = next(other);
             assertEquals(4, begun.length());
             assertEquals(5, ended.length());
             assertEquals(begun.substring(1), ended.substring(1, 4));
-            int busy = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            int busy = fixture.upstreams.get(0).received.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
                 say(other, port, begun.getBytes(ISO_8859_1));
             }
             // Received before the answer to this one, as one loop reads both.
-            assertEquals(200, fixture.ask(SidecarFixture.read("b", 900)).status());
-            int before = fixture.upstreams.get(busy).seen.size();
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("b", 900)).status());
+            int before = fixture.upstreams.get(busy).received.size();
             for (int i = 0; i < 12; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("c" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("c" + i, 900))
+                                .status());
             }
-            assertEquals(before, fixture.upstreams.get(busy).seen.size(), "sent where the other one waits");
+            assertEquals(before, fixture.upstreams.get(busy).received.size(), "sent where the other one waits");
         }
     }
 
@@ -108,9 +113,10 @@
                 DatagramSocket stranger = socket();
                 SidecarFixture fixture = new SidecarFixture(
                         1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"), answer("200 OK", "u"))) {
-            assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
             String begun = next(other);
-            int used = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            int used = fixture.upstreams.get(0).received.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
                 say(stranger, port, begun.getBytes(ISO_8859_1));
                 say(other, port, (begun + "\u0001").getBytes(ISO_8859_1));
@@ -118,9 +124,12 @@
                 say(other, port, new byte[0]);
             }
             for (int i = 0; i < 40; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("b" + i, 900))
+                                .status());
             }
-            assertTrue(fixture.upstreams.get(used).seen.size() > 1, "a stranger's message was used");
+            assertTrue(fixture.upstreams.get(used).received.size() > 1, "a stranger's message was used");
         }
     }
 
@@ -143,7 +152,7 @@
                     2,
                     (from, message) -> received.add(message));
             actor.start();
-            HeldEventLoop.settled(loop);
+            BlockedEventLoop.awaitPolls(loop);
             for (String each : List.of("a\u007f", "\u001fb", "~ c")) {
                 say(other, port, each.getBytes(ISO_8859_1));
             }
@@ -161,11 +170,15 @@
             int port = before.getLocalPort();
             try (SidecarFixture fixture =
                     new SidecarFixture(1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"))) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
                 before.close();
                 for (int i = 0; other.getSoTimeout() > 0; i++) {
                     assertEquals(
-                            200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
+                            200,
+                            fixture.exchange(SidecarFixture.readRequest("b" + i, 900))
+                                    .status());
                     other.setSoTimeout(100);
                     try {
                         assertEquals('!', next(other).charAt(0));
--- a/daemon/src/test/java/portrelay/net/RecordedWireTest.java
+++ b/daemon/src/test/java/portrelay/net/RecordedWireTest.java
@@ -31,9 +31,9 @@
 class RecordedWireTest {
 
     private static final Path RECORDING = Path.of("src/test/resources/portrelay/net/recorded-wire.txt");
-    private static final String GET = SidecarFixture.head("GET /read/x", "id", "read", 500);
-    private static final String POST = SidecarFixture.head("POST /issue/x", "id", "issue", 500);
-    private static final String SAVE = SidecarFixture.head("POST /save/x", "id", "save", 500);
+    private static final String GET = SidecarFixture.requestHead("GET /read/x", "id", "read", 500);
+    private static final String POST = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500);
+    private static final String SAVE = SidecarFixture.requestHead("POST /save/x", "id", "save", 500);
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String HI = OK
             + "X-A: 1\r\nX-a: 2\r\nKeep-Alive: 5\r\nConnection: X-Hop\r\nX-Hop: h\r\nDate: d\r\nServer: s\r\n"
@@ -89,8 +89,8 @@
             "GET /other HTTP/1.1\r\nHost: a\r\n\r\n",
             (GET + "\r\n").replace("HTTP/1.1", "HTTP/1.0"),
             GET + "Connection: close\r\n\r\n",
-            SidecarFixture.head("GET http://app.svc/read/x?n=%2F&&", "a", "read", 500) + "\r\n",
-            GET + "\r\n" + SidecarFixture.head("GET /read/y", "id2", "read", 500) + "\r\n");
+            SidecarFixture.requestHead("GET http://app.svc/read/x?n=%2F&&", "a", "read", 500) + "\r\n",
+            GET + "\r\n" + SidecarFixture.requestHead("GET /read/y", "id2", "read", 500) + "\r\n");
 
     private static final List<String> RESPONSES = List.of(
             OK + "Content-Length: 0\r\n\r\n",
@@ -230,7 +230,7 @@
 
     private static String play(String request, String response, String expected) throws Exception {
         try (RawUpstream upstream = new RawUpstream(response)) {
-            String row = SidecarFixture.host("s-0", "127.0.0.1:" + upstream.listener.getLocalPort(), "SERVING");
+            String row = SidecarFixture.endpointRow("s-0", "127.0.0.1:" + upstream.listener.getLocalPort(), "SERVING");
             try (SidecarFixture testbed = new SidecarFixture(
                     1024, "{}", config -> config.replace("\"hosts\":[]", "\"hosts\":[" + row + "]"))) {
                 Socket client = testbed.connect();
--- a/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
@@ -25,7 +25,9 @@
 class SettingsCrossingsTest {
 
     private static final String GOOD = SidecarFixture.config(
-            "127.0.0.1:1", "{\"seq\":1,\"hosts\":[" + SidecarFixture.host("s", "127.0.0.1:2", "SERVING") + "]}", 1024);
+            "127.0.0.1:1",
+            "{\"seq\":1,\"hosts\":[" + SidecarFixture.endpointRow("s", "127.0.0.1:2", "SERVING") + "]}",
+            1024);
     private static final List<Object> BAD = Arrays.asList(
             null, -1.0, 0.5, 1e300, "", "x", true, List.of(), List.of("x"), Map.of(), Map.of("name", 7.0));
 
@@ -132,22 +134,30 @@
                                 .replace("\"cell\"", "\"all\"")
                                 .replace("\"retry-after\":true", "\"retry-after\":false"),
                         answer("200 OK", "other"))) {
-            String level =
-                    SidecarFixture.read("same", 900).replace("read", "level").replace("acme", "lithium");
+            String level = SidecarFixture.readRequest("same", 900)
+                    .replace("read", "level")
+                    .replace("acme", "lithium");
             assertEquals(
-                    "one", new String(one.ask(SidecarFixture.read("same", 900)).body(), ISO_8859_1));
-            assertEquals("other", new String(other.ask(level).body(), ISO_8859_1));
-            assertEquals(404, one.ask(level).status());
-            assertEquals(404, other.ask(SidecarFixture.read("a", 900)).status());
-            assertEquals(200, one.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(200, other.ask(level).status());
-            SidecarFixture.Message rejected = one.ask(SidecarFixture.read("b", 900));
+                    "one",
+                    new String(
+                            one.exchange(SidecarFixture.readRequest("same", 900))
+                                    .body(),
+                            ISO_8859_1));
+            assertEquals("other", new String(other.exchange(level).body(), ISO_8859_1));
+            assertEquals(404, one.exchange(level).status());
+            assertEquals(
+                    404, other.exchange(SidecarFixture.readRequest("a", 900)).status());
+            assertEquals(
+                    200, one.callAdmin("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(200, other.exchange(level).status());
+            SidecarFixture.Message rejected = one.exchange(SidecarFixture.readRequest("b", 900));
             assertEquals(429, rejected.status());
             assertEquals("0.25", rejected.header("Retry-After"));
-            assertEquals(200, other.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(null, other.ask(level).header("Retry-After"));
+            assertEquals(
+                    200, other.callAdmin("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(null, other.exchange(level).header("Retry-After"));
             one.sidecar.close();
-            assertEquals(429, other.ask(level).status());
+            assertEquals(429, other.exchange(level).status());
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
+++ b/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
@@ -40,7 +40,7 @@
         discovery = new ScriptedServer(SILENT);
         upstream = new ScriptedServer(SILENT);
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
         SidecarConfig config = SidecarConfig.parse(
                 SidecarFixture.config(discovery.address(), list, 512).getBytes(UTF_8));
         sidecar = Sidecar.start(config, new PrintStream(log, true));
@@ -101,7 +101,7 @@
     @Test
     void theShutdownBudgetCountsFromTheSignal() throws Exception {
         try (Socket client = connect()) {
-            write(client, SidecarFixture.issue("a", 2000));
+            write(client, SidecarFixture.issueRequest("a", 2000));
             upstream.next();
             long start = System.nanoTime();
             Thread drain = drain(1);
@@ -121,7 +121,9 @@
         try (Socket client = connect()) {
             write(
                     client,
-                    SidecarFixture.issue("a", 900) + SidecarFixture.issue("b", 900) + SidecarFixture.read("c", 900));
+                    SidecarFixture.issueRequest("a", 900)
+                            + SidecarFixture.issueRequest("b", 900)
+                            + SidecarFixture.readRequest("c", 900));
             upstream.next();
             Thread drain = drain(0.8);
             assertEquals(502, Message.read(client.getInputStream()).status());
@@ -132,7 +134,7 @@
                 assertEquals("0.25", got.header("Retry-After"));
             }
             assertNull(Message.read(client.getInputStream()));
-            assertEquals(0, upstream.seen.size(), "forwarded with no time left");
+            assertEquals(0, upstream.received.size(), "forwarded with no time left");
             drain.join();
         }
     }
@@ -140,9 +142,9 @@
     @Test
     void aRequestReadLateIsRejectedUnsent() throws Exception {
         try (Socket client = connect()) {
-            String request = SidecarFixture.issue("a", 900);
+            String request = SidecarFixture.issueRequest("a", 900);
             write(client, request.substring(0, 40));
-            HeldEventLoop.unread(client, 0);
+            BlockedEventLoop.awaitUnread(client, 0);
             Thread drain = drain(0.7);
             awaitLogged("rejecting new requests");
             write(client, request.substring(40));
@@ -150,7 +152,7 @@
             assertNotNull(got, "lost");
             assertEquals(429, got.status());
             assertEquals("close", got.header("Connection"));
-            assertEquals(0, upstream.seen.size());
+            assertEquals(0, upstream.received.size());
             client.close();
             drain.join();
             String logged = log.toString(ISO_8859_1);
@@ -164,13 +166,13 @@
         try (Socket client = connect()) {
             write(client, READINESS_REQUEST);
             assertEquals(200, Message.read(client.getInputStream()).status());
-            try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
-                String request = SidecarFixture.issue("a", 900);
+            try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+                String request = SidecarFixture.issueRequest("a", 900);
                 write(client, request);
-                HeldEventLoop.unread(client, request.length());
+                BlockedEventLoop.awaitUnread(client, request.length());
                 // The process is to end 1.6 s after the signal.
                 awaitPosted(drain(1.65));
-                held.letGo();
+                held.release();
             }
             assertEquals(429, Message.read(client.getInputStream()).status());
             awaitLogged("ended: ");
@@ -183,13 +185,13 @@
     @Test
     void idleConnectionsStayOpenUntilRequestsAreRejected() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
             for (int i = 0; i < MORE_THAN_STAY_IDLE; i++) {
                 clients.add(connect());
                 write(clients.get(i), READINESS_REQUEST);
             }
             awaitPosted(drain(0));
-            held.letGo();
+            held.release();
         }
         awaitLogged("rejecting new requests");
         String rejecting = line("rejecting new requests");
@@ -212,13 +214,13 @@
     @Test
     void thePipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
         try (Socket client = connect()) {
-            write(client, SidecarFixture.issue("a", 700) + SidecarFixture.read("b", 300));
+            write(client, SidecarFixture.issueRequest("a", 700) + SidecarFixture.readRequest("b", 300));
             upstream.next();
             assertEquals(502, Message.read(client.getInputStream()).status());
             long start = System.nanoTime();
             assertEquals(429, Message.read(client.getInputStream()).status());
             assertTrue(System.nanoTime() - start < 0.2e9, "waits once more");
-            assertEquals(0, upstream.seen.size(), "sent for a client whose time is over");
+            assertEquals(0, upstream.received.size(), "sent for a client whose time is over");
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/SidecarFixture.java
+++ b/daemon/src/test/java/portrelay/net/SidecarFixture.java
@@ -24,24 +24,34 @@
 import portrelay.net.lifecycle.Sidecar;
 import portrelay.net.lifecycle.SidecarConfig;
 
-/** A sidecar on loopback with scripted upstreams, a scripted discovery, and clients that a test connects. */
+/**
+ * Runs a sidecar on loopback together with scripted upstreams and a scripted discovery, and connects clients to it.
+ *
+ * <p>Sockets that the tests open here time out after 5 s without a byte. {@link #close} ends all of it.
+ */
 public final class SidecarFixture implements AutoCloseable {
 
-    /** One HTTP message as it came; header names in lower case. */
-    record Message(String first, Map<String, String> headers, byte[] body) {
+    /**
+     * One HTTP message as it was received.
+     *
+     * @param startLine the request line or status line
+     * @param headers by name in lower case; the last one holds where a name is repeated
+     * @param body empty without a Content-Length
+     */
+    record Message(String startLine, Map<String, String> headers, byte[] body) {
 
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
-        /** Null at the end of the stream. */
+        /** Reads the next message, or returns null at the end of the stream. */
         static Message read(InputStream in) throws IOException {
-            String first = line(in);
-            if (first == null) {
+            String startLine = line(in);
+            if (startLine == null) {
                 return null;
             }
             Map<String, String> headers = new LinkedHashMap<>();
@@ -51,7 +61,7 @@
                 headers.put(name, line.substring(colon + 1).trim());
             }
             int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-            return new Message(first, headers, in.readNBytes(length));
+            return new Message(startLine, headers, in.readNBytes(length));
         }
 
         private static String line(InputStream in) throws IOException {
@@ -66,42 +76,53 @@
         }
     }
 
-    /** What a scripted server does with a message: it may write, close or do nothing. */
+    /** The reaction of a scripted server to a message: it may write to the connection, close it or do nothing. */
     interface Script {
-        void play(Message message, Socket on) throws Exception;
+        void run(Message message, Socket connection) throws Exception;
     }
 
+    /** Responds with this status line, after its HTTP version, and this body. */
     static Script answer(String status, String body) {
-        return (message, on) -> on.getOutputStream()
+        return (message, connection) -> connection
+                .getOutputStream()
                 .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(ISO_8859_1));
     }
 
-    /** Writes these bytes. */
-    static Script said(String bytes) {
-        return (message, on) -> on.getOutputStream().write(bytes.getBytes(ISO_8859_1));
+    /** Writes these bytes and leaves the connection open. */
+    static Script sendBytes(String bytes) {
+        return (message, connection) -> connection.getOutputStream().write(bytes.getBytes(ISO_8859_1));
     }
 
     /** Writes these bytes and closes the connection. */
-    static Script raw(String bytes) {
-        return (message, on) -> {
-            said(bytes).play(message, on);
-            on.close();
+    static Script sendBytesAndClose(String bytes) {
+        return (message, connection) -> {
+            sendBytes(bytes).run(message, connection);
+            connection.close();
         };
     }
 
-    static final Script SILENT = (message, on) -> {};
-    static final Script RESET = (message, on) -> {
-        on.setSoLinger(true, 0);
-        on.close();
+    /** Leaves the message unanswered and the connection open. */
+    static final Script SILENT = (message, connection) -> {};
+
+    /** Resets the connection. */
+    static final Script RESET = (message, connection) -> {
+        connection.setSoLinger(true, 0);
+        connection.close();
     };
 
-    /** A server on loopback that runs its script for each message and records the messages. */
+    /**
+     * A server on loopback that runs its script for each message and records the messages.
+     *
+     * <p>Each connection has a thread of its own. Tests take messages from {@link #received}, and connections that are
+     * over, closed by either side, from {@link #closed}; {@link #accepted} keeps all connections in their order. A new
+     * script takes effect with the next message.
+     */
     static final class ScriptedServer implements AutoCloseable {
 
         final ServerSocket serverSocket;
-        final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
-        final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+        final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
+        final BlockingQueue<Socket> closed = new LinkedBlockingQueue<>();
         final List<Socket> accepted = new CopyOnWriteArrayList<>();
         volatile Script script;
 
@@ -109,7 +130,7 @@
             this(script, 0);
         }
 
-        /** @param port 0 for any */
+        /** @param port the port to listen on, 0 for any */
         ScriptedServer(Script script, int port) throws IOException {
             serverSocket = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
             this.script = script;
@@ -122,8 +143,9 @@
             return "127.0.0.1:" + serverSocket.getLocalPort();
         }
 
+        /** Takes the next message; fails the test after 5 s without one. */
         Message next() throws InterruptedException {
-            Message message = seen.poll(5, TimeUnit.SECONDS);
+            Message message = received.poll(5, TimeUnit.SECONDS);
             if (message == null) {
                 throw new AssertionError("no message within 5 s");
             }
@@ -133,9 +155,9 @@
         private void accept() {
             try {
                 while (true) {
-                    Socket one = serverSocket.accept();
-                    accepted.add(one);
-                    Thread thread = new Thread(() -> serve(one));
+                    Socket connection = serverSocket.accept();
+                    accepted.add(connection);
+                    Thread thread = new Thread(() -> serve(connection));
                     thread.setDaemon(true);
                     thread.start();
                 }
@@ -144,24 +166,24 @@
             }
         }
 
-        private void serve(Socket one) {
+        private void serve(Socket connection) {
             try {
-                InputStream in = one.getInputStream();
+                InputStream in = connection.getInputStream();
                 for (Message message = Message.read(in); message != null; message = Message.read(in)) {
-                    seen.add(message);
-                    script.play(message, one);
+                    received.add(message);
+                    script.run(message, connection);
                 }
             } catch (Exception e) {
                 // Closed by either side.
             }
-            ended.add(one);
+            closed.add(connection);
         }
 
         @Override
         public void close() throws IOException {
             serverSocket.close();
-            for (Socket one : accepted) {
-                one.close();
+            for (Socket connection : accepted) {
+                connection.close();
             }
         }
     }
@@ -179,47 +201,69 @@
         this(sockets, "{}", scripts);
     }
 
-    /** @param admission the section for admission of the configuration */
+    /**
+     * @param sockets the limit of sockets in the configuration
+     * @param admission the configuration's section on admission, as JSON
+     */
     SidecarFixture(int sockets, String admission, Script... scripts) throws Exception {
         this(sockets, admission, config -> config, scripts);
     }
 
-    /** @param change makes the configuration from the usual one */
-    SidecarFixture(int sockets, String admission, UnaryOperator<String> change, Script... scripts) throws Exception {
+    /**
+     * Starts the upstreams, one for each script with ids s-0, s-1 and so on, and a sidecar that knows them as serving.
+     *
+     * @param sockets the limit of sockets in the configuration
+     * @param admission the configuration's section on admission, as JSON
+     * @param adjustment makes the configuration from the usual one
+     */
+    SidecarFixture(int sockets, String admission, UnaryOperator<String> adjustment, Script... scripts)
+            throws Exception {
         LogManager.getLogManager().reset();
-        StringBuilder known = new StringBuilder();
+        StringBuilder rows = new StringBuilder();
         for (Script script : scripts) {
             upstreams.add(new ScriptedServer(script));
-            known.append(known.length() == 0 ? "" : ",").append(host(upstreams.size() - 1, "SERVING"));
+            rows.append(rows.length() == 0 ? "" : ",").append(endpointRow(upstreams.size() - 1, "SERVING"));
         }
-        String list = "{\"seq\":7,\"whole\":true,\"hosts\":[" + known + "]}";
-        SidecarConfig config = SidecarConfig.parse(
-                        change.apply(config(discovery.address(), list, sockets)).getBytes(UTF_8))
+        String list = "{\"seq\":7,\"whole\":true,\"hosts\":[" + rows + "]}";
+        SidecarConfig config = SidecarConfig.parse(adjustment
+                        .apply(config(discovery.address(), list, sockets))
+                        .getBytes(UTF_8))
                 .withAdmission(admission.getBytes(UTF_8));
         sidecar = Sidecar.start(config, new PrintStream(OutputStream.nullOutputStream()));
     }
 
-    String host(int upstream, String health) {
-        return host("s-" + upstream, upstreams.get(upstream).address(), health);
+    /** Returns the row of this upstream in an endpoint list. */
+    String endpointRow(int upstream, String health) {
+        return endpointRow("s-" + upstream, upstreams.get(upstream).address(), health);
     }
 
-    static String host(String name, String address, String health) {
+    /** Returns a row of an endpoint list. */
+    static String endpointRow(String name, String address, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address
                 + "\",\"site\":\"a\",\"class\":\"m\",\"block\":1,\"health\":\"" + health
                 + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
-    /** For tests in which no deadline may pass, however busy the machine is: 9 s in place of 1 s. */
+    /**
+     * Sets the longest deadline to 9 s instead of 1 s, for tests in which none may pass, however busy the machine is.
+     */
     static UnaryOperator<String> longDeadlines() {
         return config -> config.replace(
                 "\"aim-us\":600000,\"hard-limit-us\":1000000", "\"aim-us\":9000000,\"hard-limit-us\":9000000");
     }
 
-    public static String config(String discovery, String known, int sockets) {
+    /**
+     * Returns the usual configuration of a sidecar named t.
+     *
+     * @param discovery the address of discovery
+     * @param endpointList the list of endpoints that the sidecar starts with, as JSON
+     * @param sockets the limit of sockets
+     */
+    public static String config(String discovery, String endpointList, int sockets) {
         return "{\"name\":\"t\",\"listen\":\"127.0.0.1:0\",\"mgmt\":\"127.0.0.1:0\","
                 + "\"discovery\":\"" + discovery
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "},\"known\":"
-                + known + ",\"settings\":{\"discovery\":\"on_request\",\"siblings\":1,"
+                + endpointList + ",\"settings\":{\"discovery\":\"on_request\",\"siblings\":1,"
                 + "\"tenants\":[{\"name\":\"acme\",\"share\":1},{\"name\":\"beta\",\"share\":1}],"
                 + "\"classes\":[" + requestClass("read", "read_like") + ","
                 + requestClass("save", "idempotency_key") + "," + requestClass("issue", "non_idempotent")
@@ -234,19 +278,28 @@
                 + "\"aim-us\":600000,\"hard-limit-us\":1000000,\"dedup-window-us\":900000}";
     }
 
-    static String head(String line, String id, String requestClass, int leftMs) {
+    /**
+     * Returns a request's head without the empty line at its end.
+     *
+     * @param line the method and the target
+     * @param leftMs the milliseconds until its deadline
+     */
+    static String requestHead(String line, String id, String requestClass, int leftMs) {
         return line + " HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id + "\r\nX-Qos: " + requestClass
                 + "\r\nX-Customer: acme\r\nX-Expires-In-Ms: " + leftMs + "\r\n";
     }
 
-    static String read(String id, int leftMs) {
-        return head("GET /read/x", id, "read", leftMs) + "\r\n";
+    /** Returns a request of the safe class "read". */
+    static String readRequest(String id, int leftMs) {
+        return requestHead("GET /read/x", id, "read", leftMs) + "\r\n";
     }
 
-    static String issue(String id, int leftMs) {
-        return head("POST /issue/x", id, "issue", leftMs) + "Content-Length: 2\r\n\r\nhi";
+    /** Returns a request, with a body, of the unsafe class "issue". */
+    static String issueRequest(String id, int leftMs) {
+        return requestHead("POST /issue/x", id, "issue", leftMs) + "Content-Length: 2\r\n\r\nhi";
     }
 
+    /** Connects a client to the sidecar's listener. */
     Socket connect() throws IOException {
         Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
@@ -256,7 +309,8 @@
         return client;
     }
 
-    Socket call() throws IOException {
+    /** Connects to the sidecar's admin listener. */
+    Socket connectAdmin() throws IOException {
         Socket caller = new Socket(
                 sidecar.adminAddress().getAddress(), sidecar.adminAddress().getPort());
         caller.setSoTimeout(5000);
@@ -264,40 +318,42 @@
         return caller;
     }
 
-    /** One operators' call, as "PUT /control/in-service". */
-    Message call(String line) throws IOException {
-        return ask(call(), line + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    /** Makes one operator call, such as "PUT /control/in-service", on a new connection and returns the response. */
+    Message callAdmin(String line) throws IOException {
+        return exchange(connectAdmin(), line + " HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
-    static Message ask(Socket on, String bytes) throws IOException {
-        on.getOutputStream().write(bytes.getBytes(ISO_8859_1));
-        return Message.read(on.getInputStream());
+    /** Writes these bytes and reads one response; null where the sidecar closes without one. */
+    static Message exchange(Socket connection, String bytes) throws IOException {
+        connection.getOutputStream().write(bytes.getBytes(ISO_8859_1));
+        return Message.read(connection.getInputStream());
     }
 
-    Message ask(String bytes) throws IOException {
-        return ask(connect(), bytes);
+    /** Writes these bytes on a new connection of a client and reads one response. */
+    Message exchange(String bytes) throws IOException {
+        return exchange(connect(), bytes);
     }
 
-    /** As SIGHUP does, with discovery at another address. */
+    /** Reloads the configuration as SIGHUP does, with discovery at another address and without endpoints. */
     void reload(String discovery) throws Exception {
-        String none = "{\"seq\":1,\"hosts\":[]}";
-        sidecar.reload(SidecarConfig.parse(config(discovery, none, 1024).getBytes(UTF_8)));
+        String emptyList = "{\"seq\":1,\"hosts\":[]}";
+        sidecar.reload(SidecarConfig.parse(config(discovery, emptyList, 1024).getBytes(UTF_8)));
     }
 
-    /** Requests that upstreams have received and tests have not taken. */
-    int sent() {
-        return upstreams.stream().mapToInt(each -> each.seen.size()).sum();
+    /** Returns how many requests the upstreams have received that the test has not taken from their queues. */
+    int receivedCount() {
+        return upstreams.stream().mapToInt(upstream -> upstream.received.size()).sum();
     }
 
     @Override
     public void close() throws Exception {
         sidecar.close();
         discovery.close();
-        for (ScriptedServer each : upstreams) {
-            each.close();
+        for (ScriptedServer upstream : upstreams) {
+            upstream.close();
         }
-        for (Socket each : clients) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
@@ -122,7 +122,7 @@
 
     private int connections() throws Exception {
         AtomicInteger open = new AtomicInteger();
-        HeldEventLoop.on(clock, () -> open.set(connector.openCount()));
+        BlockedEventLoop.runOn(clock, () -> open.set(connector.openCount()));
         return open.get();
     }
 
@@ -144,12 +144,12 @@
             try (ScriptedServer upstream = new ScriptedServer(SILENT)) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
                 Runnable end = ends(actor, upstream.serverSocket.getLocalPort()).get(i);
-                HeldEventLoop.on(clock, () -> {
+                BlockedEventLoop.runOn(clock, () -> {
                     end.run();
                     actor.sendAttempt(ONE, request("a"));
                 });
                 assertEquals(new Ended(ONE, Outcome.CONNECT_FAILED, null), next());
-                HeldEventLoop.settled(clock);
+                BlockedEventLoop.awaitPolls(clock);
                 assertEquals(0, upstream.accepted.size());
                 assertEquals(0, connections());
             }
@@ -166,9 +166,9 @@
                 full.add(new Socket(HOME, slow.getLocalPort()));
                 UpstreamActor actor = actor(slow.getLocalPort());
                 Runnable end = ends(actor, slow.getLocalPort()).get(i);
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(ONE, request("a")));
                 assertEquals(1, connections());
-                HeldEventLoop.on(clock, end);
+                BlockedEventLoop.runOn(clock, end);
                 assertEquals(new Ended(ONE, Outcome.CONNECT_FAILED, null), next());
                 assertEquals(0, connections());
             } finally {
@@ -188,7 +188,7 @@
                 Runnable end = ends(actor, serverSocket.getLocalPort()).get(i);
                 BlockingQueue<Socket> up = new LinkedBlockingQueue<>();
                 // The mailbox begins the connect first, then the second task runs.
-                HeldEventLoop.on(clock, () -> {
+                BlockedEventLoop.runOn(clock, () -> {
                     actor.sendAttempt(ONE, request("a"));
                     clock.execute(() -> {
                         try {
@@ -211,34 +211,34 @@
     void aLateSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer((message, on) -> {
             boolean first = "a".equals(message.header("X-Trace-Id"));
-            answer("200 OK", first ? "first" : "second").play(message, on);
+            answer("200 OK", first ? "first" : "second").run(message, on);
         })) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
+            BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(ONE, request("a")));
             assertEquals(new Ended(ONE, Outcome.SERVED, "first"), next());
             upstream.script = SILENT;
-            HeldEventLoop.on(clock, () -> {
-                clock.forward(0.005);
+            BlockedEventLoop.runOn(clock, () -> {
+                clock.advance(0.005);
                 actor.sendAttempt(TWO, request("b"));
             });
             upstream.next();
             upstream.next();
             // On the first connection, behind its answer; the second request has been sent by now.
-            answer("200 OK", "first").play(null, upstream.accepted.get(0));
-            HeldEventLoop.settled(clock);
+            answer("200 OK", "first").run(null, upstream.accepted.get(0));
+            BlockedEventLoop.awaitPolls(clock);
             assertNull(ended.poll(), "another's answer was taken");
-            answer("200 OK", "second").play(null, upstream.accepted.get(1));
+            answer("200 OK", "second").run(null, upstream.accepted.get(1));
             assertEquals(new Ended(TWO, Outcome.SERVED, "second"), next());
             // The extra answer is not taken for a later request's either, however long the connection was idle.
             upstream.accepted.get(1).close();
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             upstream.script = answer("200 OK", "third");
-            HeldEventLoop.on(clock, () -> {
-                clock.forward(0.02);
+            BlockedEventLoop.runOn(clock, () -> {
+                clock.advance(0.02);
                 actor.sendAttempt(ONE, request("c"));
             });
             assertEquals(new Ended(ONE, Outcome.SERVED, "third"), next());
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(1, connections(), "the one that brought two answers is held");
         }
     }
@@ -248,13 +248,13 @@
     void aRetryConnectedAfterItsDeduplicationWindowIsNotWritten() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> {
+            BlockedEventLoop.runOn(clock, () -> {
                 actor.sendAttempt(ONE, request("a"), clock.now() + 0.05);
-                clock.execute(() -> clock.forward(0.06));
+                clock.execute(() -> clock.advance(0.06));
             });
             assertEquals(new Ended(ONE, Outcome.NOT_SENT, null), next());
-            HeldEventLoop.settled(clock);
-            assertEquals(0, upstream.seen.size());
+            BlockedEventLoop.awaitPolls(clock);
+            assertEquals(0, upstream.received.size());
         }
     }
 
@@ -264,8 +264,8 @@
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
             for (int i = 0; i < 5; i++) {
-                HeldEventLoop.on(clock, () -> {
-                    clock.forward(0.02);
+                BlockedEventLoop.runOn(clock, () -> {
+                    clock.advance(0.02);
                     actor.sendAttempt(ONE, request("a"));
                 });
                 next();
@@ -280,19 +280,19 @@
         for (boolean reset : new boolean[] {false, true}) {
             try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(ONE, request("a")));
                 next();
-                HeldEventLoop.on(clock, () -> clock.forward(0.02));
+                BlockedEventLoop.runOn(clock, () -> clock.advance(0.02));
                 Socket to = upstream.accepted.get(0);
                 int local = to.getLocalPort();
                 int port = to.getPort();
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(clock)) {
                     to.setSoLinger(reset, 0);
                     to.close();
-                    HeldEventLoop.ended(to, local, port);
+                    BlockedEventLoop.awaitClosed(to, local, port);
                     // In the mailbox before the loop polls the kernel.
                     actor.sendAttempt(TWO, request("b"));
-                    held.letGo();
+                    held.release();
                 }
                 assertEquals(new Ended(TWO, Outcome.SERVED, "u"), next());
                 assertEquals(2, upstream.accepted.size());
@@ -307,21 +307,21 @@
         for (boolean stopFirst : new boolean[] {true, false}) {
             try (ScriptedServer upstream = new ScriptedServer(SILENT)) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(ONE, request("a")));
                 upstream.next();
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(clock)) {
                     Socket to = upstream.accepted.get(0);
-                    answer("200 OK", "u").play(null, to);
-                    HeldEventLoop.unread(to, 10);
+                    answer("200 OK", "u").run(null, to);
+                    BlockedEventLoop.awaitUnread(to, 10);
                     if (stopFirst) {
                         actor.cancelAttempt(ONE, Outcome.TIMED_OUT);
                     } else {
                         clock.execute(() -> clock.afterPoll(() -> actor.cancelAttempt(ONE, Outcome.TIMED_OUT)));
                     }
-                    held.letGo();
+                    held.release();
                 }
                 assertEquals(stopFirst ? Outcome.TIMED_OUT : Outcome.SERVED, next().outcome);
-                HeldEventLoop.settled(clock);
+                BlockedEventLoop.awaitPolls(clock);
                 assertTrue(ended.isEmpty(), "ended twice");
                 assertEquals(stopFirst ? 0 : 1, connections());
             }
@@ -336,7 +336,7 @@
             nobody = free.getLocalPort();
         }
         UpstreamActor refused = actor(nobody);
-        HeldEventLoop.on(clock, () -> refused.sendAttempt(ONE, request("a")));
+        BlockedEventLoop.runOn(clock, () -> refused.sendAttempt(ONE, request("a")));
         assertEquals(Outcome.CONNECT_FAILED, next().outcome);
         assertEquals(0, connections());
         List<Socket> full = new ArrayList<>();
@@ -345,37 +345,37 @@
             full.add(new Socket(HOME, slow.getLocalPort()));
             full.add(new Socket(HOME, slow.getLocalPort()));
             UpstreamActor hangs = actor(slow.getLocalPort());
-            HeldEventLoop.on(clock, () -> hangs.sendAttempt(ONE, request("a")));
+            BlockedEventLoop.runOn(clock, () -> hangs.sendAttempt(ONE, request("a")));
             assertEquals(1, connections());
-            HeldEventLoop.on(clock, () -> clock.forward(0.2));
+            BlockedEventLoop.runOn(clock, () -> clock.advance(0.2));
             assertEquals(Outcome.CONNECT_FAILED, next().outcome);
             assertEquals(0, connections());
-            HeldEventLoop.on(clock, () -> {
+            BlockedEventLoop.runOn(clock, () -> {
                 hangs.sendAttempt(ONE, request("a"));
                 hangs.cancelAttempt(ONE, Outcome.CANCELLED);
             });
             assertEquals(Outcome.CANCELLED, next().outcome);
             assertEquals(0, connections());
             UpstreamActor usual = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> usual.sendAttempt(ONE, request("a")));
+            BlockedEventLoop.runOn(clock, () -> usual.sendAttempt(ONE, request("a")));
             next();
             assertEquals(1, connections());
             upstream.accepted.get(0).close();
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(0, connections());
             // Five at once, where four are allowed.
             upstream.script = SILENT;
             for (int i = 0; i < 5; i++) {
                 AttemptId each = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> usual.sendAttempt(each, request("q")));
+                BlockedEventLoop.runOn(clock, () -> usual.sendAttempt(each, request("q")));
             }
             assertEquals(Outcome.CONNECT_FAILED, next().outcome);
             assertEquals(4, connections());
             for (int i = 0; i < 5; i++) {
                 AttemptId each = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> usual.cancelAttempt(each, Outcome.TIMED_OUT));
+                BlockedEventLoop.runOn(clock, () -> usual.cancelAttempt(each, Outcome.TIMED_OUT));
             }
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(0, connections());
         } finally {
             for (Socket each : full) {
@@ -396,19 +396,21 @@
             full.add(new Socket(HOME, slow.getLocalPort()));
             String at = "127.0.0.1:" + slow.getLocalPort();
             fixture.discovery.next();
-            String list = "{\"seq\":9,\"whole\":true,\"hosts\":[" + SidecarFixture.host("slow", at, "SERVING") + "]}";
-            answer("200 OK", list).play(null, fixture.discovery.accepted.get(0));
+            String list =
+                    "{\"seq\":9,\"whole\":true,\"hosts\":[" + SidecarFixture.endpointRow("slow", at, "SERVING") + "]}";
+            answer("200 OK", list).run(null, fixture.discovery.accepted.get(0));
             fixture.discovery.next();
             Socket client = fixture.connect();
-            client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             AtomicInteger open = new AtomicInteger();
             while (open.get() == 0) {
-                HeldEventLoop.on(fixture.sidecar.loop, () -> open.set(fixture.sidecar.upstreamConnector.openCount()));
+                BlockedEventLoop.runOn(
+                        fixture.sidecar.loop, () -> open.set(fixture.sidecar.upstreamConnector.openCount()));
             }
-            String rows = SidecarFixture.host("slow", at, "DRAINING") + ","
-                    + SidecarFixture.host("other", other.address(), "SERVING");
+            String rows = SidecarFixture.endpointRow("slow", at, "DRAINING") + ","
+                    + SidecarFixture.endpointRow("other", other.address(), "SERVING");
             answer("200 OK", "{\"seq\":10,\"whole\":false,\"hosts\":[" + rows + "]}")
-                    .play(null, fixture.discovery.accepted.get(0));
+                    .run(null, fixture.discovery.accepted.get(0));
             long start = System.nanoTime();
             Message got = Message.read(client.getInputStream());
             assertEquals("other", new String(got.body(), ISO_8859_1));
@@ -429,21 +431,28 @@
             Socket silent = fixture.connect();
             Socket half = fixture.connect();
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("a", 900))
+                            .status());
             half.getOutputStream()
-                    .write(SidecarFixture.read("h", 900).substring(0, 40).getBytes(ISO_8859_1));
-            HeldEventLoop.settled(fixture.sidecar.loop);
-            try (HeldEventLoop held = new HeldEventLoop(fixture.sidecar.loop)) {
+                    .write(SidecarFixture.readRequest("h", 900).substring(0, 40).getBytes(ISO_8859_1));
+            BlockedEventLoop.awaitPolls(fixture.sidecar.loop);
+            try (BlockedEventLoop held = new BlockedEventLoop(fixture.sidecar.loop)) {
                 long start = System.nanoTime();
-                idle.getOutputStream().write(SidecarFixture.read("b", 900).getBytes(ISO_8859_1));
-                silent.getOutputStream().write(SidecarFixture.read("c", 900).getBytes(ISO_8859_1));
+                idle.getOutputStream()
+                        .write(SidecarFixture.readRequest("b", 900).getBytes(ISO_8859_1));
+                silent.getOutputStream()
+                        .write(SidecarFixture.readRequest("c", 900).getBytes(ISO_8859_1));
                 half.getOutputStream()
-                        .write(SidecarFixture.read("h", 900).substring(40).getBytes(ISO_8859_1));
-                HeldEventLoop.unread(silent, SidecarFixture.read("c", 900).length());
+                        .write(SidecarFixture.readRequest("h", 900)
+                                .substring(40)
+                                .getBytes(ISO_8859_1));
+                BlockedEventLoop.awaitUnread(
+                        silent, SidecarFixture.readRequest("c", 900).length());
                 while (System.nanoTime() - start < 1_300_000_000L) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                held.release();
             }
             for (Socket each : List.of(idle, silent, half)) {
                 Message got = Message.read(each.getInputStream());
