--- a/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
@@ -82,7 +82,7 @@
             }
             return new UpstreamActor(clock, log, toUpstreams, module, 0.1, 1, at);
         });
-        HeldEventLoop.on(clock, () -> {
+        BlockedEventLoop.runOn(clock, () -> {
             try {
                 list.loadCached(config.cachedEndpoints());
             } catch (Exception e) {
@@ -90,7 +90,7 @@
             }
             module.start(list, null);
         });
-        assertTrue(discovery.next().first().contains("index=7&wait=20000"));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=20000"));
     }
 
     @AfterEach
@@ -105,78 +105,78 @@
 
     private int connectionsToDiscovery() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        HeldEventLoop.on(clock, () -> count.set(toDiscovery.openCount()));
+        BlockedEventLoop.runOn(clock, () -> count.set(toDiscovery.openCount()));
         return count.get();
     }
 
     private void forward(double seconds) throws Exception {
-        HeldEventLoop.on(clock, () -> clock.forward(seconds));
-        HeldEventLoop.settled(clock);
+        BlockedEventLoop.runOn(clock, () -> clock.advance(seconds));
+        BlockedEventLoop.awaitPolls(clock);
     }
 
     /** Guards against a backoff after a silent watch: a change that it missed must be read within 2 s of its wait. */
     @Test
     void aSilentWatchIsReplacedSoonAfterItsWait() throws Exception {
         forward(20.4);
-        assertNull(discovery.seen.poll(), "given up within its wait");
+        assertNull(discovery.received.poll(), "given up within its wait");
         forward(0.2);
-        SidecarFixture.Message again = discovery.seen.poll(1, TimeUnit.SECONDS);
+        SidecarFixture.Message again = discovery.received.poll(1, TimeUnit.SECONDS);
         assertNotNull(again, "not opened anew after 20.6 s");
         // After a timeout the next call waits shortly, so that a change is read within 6 s.
-        assertTrue(again.first().contains("index=7&wait=3000"), again.first());
+        assertTrue(again.startLine().contains("index=7&wait=3000"), again.startLine());
         assertEquals(2, discovery.accepted.size());
-        assertNotNull(discovery.ended.poll(1, TimeUnit.SECONDS), "the silent one stays open");
-        answer("200 OK", page(7, false, "")).play(null, discovery.accepted.get(1));
-        assertTrue(discovery.next().first().contains("index=7&wait=20000"));
+        assertNotNull(discovery.closed.poll(1, TimeUnit.SECONDS), "the silent one stays open");
+        answer("200 OK", page(7, false, "")).run(null, discovery.accepted.get(1));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=20000"));
         // After an answer the next call waits for long again.
         forward(20.4);
-        assertNull(discovery.seen.poll());
+        assertNull(discovery.received.poll());
         assertEquals(2, discovery.accepted.size());
     }
 
     /** Guards against waiting 20.5 s for a call that discovery accepts after an outage and never answers. */
     @Test
     void aCallThatIsNeverAnsweredDelaysNoChangeForSixSeconds() throws Exception {
-        SidecarFixture.RESET.play(null, discovery.accepted.get(0));
-        discovery.ended.poll(5, TimeUnit.SECONDS);
-        HeldEventLoop.settled(clock);
+        SidecarFixture.RESET.run(null, discovery.accepted.get(0));
+        discovery.closed.poll(5, TimeUnit.SECONDS);
+        BlockedEventLoop.awaitPolls(clock);
         double back = 0;
         // Asked of this side: the server's thread may see the call late, while the clock goes on.
         for (; connectionsToDiscovery() == 0 && back < 0.5; back += 0.05) {
             forward(0.05);
         }
-        assertTrue(discovery.next().first().contains("index=7&wait=3000"), "not asked again after " + back);
+        assertTrue(discovery.next().startLine().contains("index=7&wait=3000"), "not asked again after " + back);
         forward(3.4);
-        assertNull(discovery.seen.poll(), "given up within its wait");
+        assertNull(discovery.received.poll(), "given up within its wait");
         forward(0.2);
-        assertTrue(discovery.next().first().contains("index=7&wait=3000"));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=3000"));
         assertEquals(3, discovery.accepted.size(), "on a connection of its own");
         // The earlier call is not closed before the later one has its answer.
-        assertNull(discovery.ended.poll(50, TimeUnit.MILLISECONDS));
-        answer("200 OK", page(9, false, SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING")))
-                .play(null, discovery.accepted.get(2));
-        assertTrue(discovery.next().first().contains("index=9&wait=20000"));
-        assertNotNull(discovery.ended.poll(5, TimeUnit.SECONDS), "the silent one stays open");
+        assertNull(discovery.closed.poll(50, TimeUnit.MILLISECONDS));
+        answer("200 OK", page(9, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING")))
+                .run(null, discovery.accepted.get(2));
+        assertTrue(discovery.next().startLine().contains("index=9&wait=20000"));
+        assertNotNull(discovery.closed.poll(5, TimeUnit.SECONDS), "the silent one stays open");
         assertTrue(logged.toString(ISO_8859_1).contains("endpoint list: version=9 "), logged.toString(ISO_8859_1));
         forward(20.4);
-        assertNull(discovery.seen.poll(), "more than one watch is out");
+        assertNull(discovery.received.poll(), "more than one watch is out");
     }
 
     /** Guards against dropping an answer that is in the kernel when the call times out. */
     @Test
     void anAnswerThatIsUnreadAtTheTimeoutIsRead() throws Exception {
-        String row = SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING");
-        try (HeldEventLoop held = new HeldEventLoop(clock)) {
+        String row = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING");
+        try (BlockedEventLoop held = new BlockedEventLoop(clock)) {
             Socket to = discovery.accepted.get(0);
-            answer("200 OK", page(9, false, row)).play(null, to);
-            HeldEventLoop.unread(to, 100);
+            answer("200 OK", page(9, false, row)).run(null, to);
+            BlockedEventLoop.awaitUnread(to, 100);
             // The timer fires in the loop iteration that could read the answer.
-            clock.execute(() -> clock.forward(25));
-            held.letGo();
+            clock.execute(() -> clock.advance(25));
+            held.release();
             SidecarFixture.Message next = discovery.next();
-            assertTrue(next.first().contains("index=9"), next.first());
+            assertTrue(next.startLine().contains("index=9"), next.startLine());
         }
-        HeldEventLoop.settled(clock);
+        BlockedEventLoop.awaitPolls(clock);
         assertEquals(1, discovery.accepted.size(), "the answered watch was hung up");
         assertTrue(logged.toString(ISO_8859_1).contains("endpoint list: version=9 "), logged.toString(ISO_8859_1));
     }
@@ -184,10 +184,10 @@
     /** The other order: the answer is read, then the timer fires. */
     @Test
     void theTimeoutOfAnAnsweredCallEndsNothing() throws Exception {
-        answer("200 OK", page(9, false, "")).play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=9"));
+        answer("200 OK", page(9, false, "")).run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=9"));
         forward(20.4);
-        assertNull(discovery.seen.poll());
+        assertNull(discovery.received.poll());
         assertEquals(1, discovery.accepted.size());
     }
 
@@ -197,7 +197,7 @@
         try (ServerSocket serverSocket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Connector connector = new Connector(clock, new DefaultByteBufferPool(true, 16384), 1, n -> {});
             BlockingQueue<String> became = new LinkedBlockingQueue<>();
-            HeldEventLoop held = new HeldEventLoop(clock);
+            BlockedEventLoop held = new BlockedEventLoop(clock);
             clock.execute(() -> {
                 connector.connect(
                         (InetSocketAddress) serverSocket.getLocalSocketAddress(),
@@ -210,9 +210,9 @@
                 } catch (Exception e) {
                     became.add(e.toString());
                 }
-                clock.forward(0.2);
+                clock.advance(0.2);
             });
-            held.letGo();
+            held.release();
             assertEquals("opened", became.poll(5, TimeUnit.SECONDS));
             assertEquals(1, connector.openCount());
         }
@@ -223,7 +223,7 @@
     void aConnectThatCannotBeginIsNotCounted() throws Exception {
         Connector connector = new Connector(clock, new DefaultByteBufferPool(true, 16384), 1, n -> {});
         BlockingQueue<String> became = new LinkedBlockingQueue<>();
-        HeldEventLoop.on(
+        BlockedEventLoop.runOn(
                 clock, () -> connector.connect(null, 0.1, link -> became.add("opened"), () -> became.add("failed")));
         assertEquals("failed", became.poll(5, TimeUnit.SECONDS));
         assertEquals(0, connector.openCount());
@@ -232,18 +232,18 @@
     /** Guards against changes up to an older version, which would undo newer ones. */
     @Test
     void anOlderVersionIsIgnoredAndTheCompleteListRequestedAtOnce() throws Exception {
-        answer("200 OK", page(9, false, SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING")))
-                .play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=9"));
-        answer("200 OK", page(8, false, SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING")))
-                .play(null, discovery.accepted.get(0));
-        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().first());
+        answer("200 OK", page(9, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING")))
+                .run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=9"));
+        answer("200 OK", page(8, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING")))
+                .run(null, discovery.accepted.get(0));
+        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().startLine());
         assertEquals(1, discovery.accepted.size());
         assertFalse(logged.toString(ISO_8859_1).contains("endpoint list: version=8 "), logged.toString(ISO_8859_1));
         // A complete list counts whatever its version.
-        answer("200 OK", page(8, true, SidecarFixture.host("s-1", "127.0.0.1:9", "SERVING")))
-                .play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=8"));
+        answer("200 OK", page(8, true, SidecarFixture.endpointRow("s-1", "127.0.0.1:9", "SERVING")))
+                .run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=8"));
         assertTrue(logged.toString(ISO_8859_1)
                 .contains("endpoint list: version=8 update=COMPLETE ready=1 draining=0 gone=1"));
     }
@@ -252,23 +252,23 @@
     @Test
     void aListThatCannotBeAppliedIsRequestedAnew() throws Exception {
         failsNextUpstream.set("127.0.0.1:8");
-        String row = SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING");
-        String failing = SidecarFixture.host("s-1", "127.0.0.1:8", "SERVING");
-        answer("200 OK", page(9, false, row + "," + failing)).play(null, discovery.accepted.get(0));
+        String row = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING");
+        String failing = SidecarFixture.endpointRow("s-1", "127.0.0.1:8", "SERVING");
+        answer("200 OK", page(9, false, row + "," + failing)).run(null, discovery.accepted.get(0));
         awaitLogged("endpoint list not applied: version=9: java.lang.IllegalStateException: planted");
         forward(0.5);
-        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().first());
+        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().startLine());
         assertEquals(1, upstreamsMade.get("127.0.0.1:9"));
         Socket to = discovery.accepted.get(discovery.accepted.size() - 1);
-        answer("200 OK", page(9, true, row)).play(null, to);
-        assertTrue(discovery.next().first().contains("index=9"));
+        answer("200 OK", page(9, true, row)).run(null, to);
+        assertTrue(discovery.next().startLine().contains("index=9"));
         assertEquals(List.of("s-0"), upstreams());
         assertEquals(2, upstreamsMade.get("127.0.0.1:9"), "the load balancer has not heard of it");
     }
 
     private void awaitLogged(String what) throws Exception {
         for (int i = 0; i < 100 && !logged.toString(ISO_8859_1).contains(what); i++) {
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
         }
         assertTrue(logged.toString(ISO_8859_1).contains(what), logged.toString(ISO_8859_1));
     }
@@ -276,28 +276,28 @@
     /** Gone and back on one page, in either order; and a complete list without rows. */
     @Test
     void ofDuplicateIdsOnOnePageTheLastRowCounts() throws Exception {
-        String serves = SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING");
-        String gone = SidecarFixture.host("s-0", "127.0.0.1:9", "DELETED");
+        String serves = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING");
+        String gone = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DELETED");
         Socket to = discovery.accepted.get(0);
-        answer("200 OK", page(9, false, serves)).play(null, to);
+        answer("200 OK", page(9, false, serves)).run(null, to);
         discovery.next();
-        answer("200 OK", page(10, false, gone + "," + serves)).play(null, to);
+        answer("200 OK", page(10, false, gone + "," + serves)).run(null, to);
         discovery.next();
         assertEquals(List.of("s-0"), upstreams());
-        answer("200 OK", page(11, false, serves + "," + gone)).play(null, to);
+        answer("200 OK", page(11, false, serves + "," + gone)).run(null, to);
         discovery.next();
         assertEquals(List.of(), upstreams());
-        answer("200 OK", page(12, false, serves)).play(null, to);
+        answer("200 OK", page(12, false, serves)).run(null, to);
         discovery.next();
-        answer("200 OK", "\n  " + page(13, true, "").replace(",", " ,\n\t")).play(null, to);
-        assertTrue(discovery.next().first().contains("index=13"));
+        answer("200 OK", "\n  " + page(13, true, "").replace(",", " ,\n\t")).run(null, to);
+        assertTrue(discovery.next().startLine().contains("index=13"));
         assertEquals(List.of(), upstreams());
     }
 
     /** Ids as a successor is given them. */
     private List<String> upstreams() throws Exception {
         List<String> ids = new ArrayList<>();
-        HeldEventLoop.on(
+        BlockedEventLoop.runOn(
                 clock, () -> list.endpointRows().forEach(each -> ids.add((String) ((Map<?, ?>) each).get("host"))));
         return ids;
     }
@@ -307,27 +307,27 @@
     void aNewAddressThatCrossesTheOldWatchsAnswerOrTimeoutIsFollowed() throws Exception {
         for (boolean answered : new boolean[] {true, false}) {
             try (ScriptedServer second = new ScriptedServer(SidecarFixture.SILENT)) {
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop held = new BlockedEventLoop(clock)) {
                     if (answered) {
                         Socket to = discovery.accepted.get(discovery.accepted.size() - 1);
-                        answer("200 OK", page(20, false, "")).play(null, to);
-                        HeldEventLoop.unread(to, 30);
+                        answer("200 OK", page(20, false, "")).run(null, to);
+                        BlockedEventLoop.awaitUnread(to, 30);
                     }
                     if (!answered) {
                         // The timer fires and waits for the next poll: the new address comes before that.
-                        clock.execute(() -> clock.forward(20.6));
+                        clock.execute(() -> clock.advance(20.6));
                     }
                     list.setAddress((InetSocketAddress) second.serverSocket.getLocalSocketAddress());
-                    held.letGo();
+                    held.release();
                 }
-                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
-                answer("200 OK", page(3, true, "")).play(null, second.accepted.get(0));
-                assertTrue(second.next().first().contains("index=3"));
-                HeldEventLoop.settled(clock);
-                assertTrue(discovery.seen.isEmpty(), "the old one was asked again");
+                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
+                answer("200 OK", page(3, true, "")).run(null, second.accepted.get(0));
+                assertTrue(second.next().startLine().contains("index=3"));
+                BlockedEventLoop.awaitPolls(clock);
+                assertTrue(discovery.received.isEmpty(), "the old one was asked again");
                 list.setAddress((InetSocketAddress) discovery.serverSocket.getLocalSocketAddress());
                 discovery.next();
-                answer("200 OK", page(5, true, "")).play(null, discovery.accepted.get(discovery.accepted.size() - 1));
+                answer("200 OK", page(5, true, "")).run(null, discovery.accepted.get(discovery.accepted.size() - 1));
                 discovery.next();
             }
         }
--- a/daemon/src/test/java/portrelay/net/WireFormatTest.java
+++ b/daemon/src/test/java/portrelay/net/WireFormatTest.java
@@ -184,7 +184,9 @@
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                list(SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING"))),
                         null)) {
             exchange(
                     sidecar.address(),
@@ -208,15 +210,19 @@
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(served);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                list(SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING"))),
                         null)) {
-            assertRecorded("client-served", masked(exchange(sidecar.address(), SidecarFixture.read("a", 15_000))));
+            assertRecorded(
+                    "client-served", masked(exchange(sidecar.address(), SidecarFixture.readRequest("a", 15_000))));
             assertRecorded("client-up", masked(exchange(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")));
-            String noId = SidecarFixture.read("b", 15_000).replace("X-Trace-Id: b\r\n", "");
+            String noId = SidecarFixture.readRequest("b", 15_000).replace("X-Trace-Id: b\r\n", "");
             assertRecorded("client-no-id", masked(exchange(sidecar.address(), noId)));
-            String noClass = SidecarFixture.read("c", 15_000).replace("X-Qos: read", "X-Qos: other");
+            String noClass = SidecarFixture.readRequest("c", 15_000).replace("X-Qos: read", "X-Qos: other");
             assertRecorded("client-unknown-class", masked(exchange(sidecar.address(), noClass)));
-            String noTime = SidecarFixture.read("d", 15_000).replace("X-Expires-In-Ms: 15000", "X-Expires-In-Ms: soon");
+            String noTime =
+                    SidecarFixture.readRequest("d", 15_000).replace("X-Expires-In-Ms: 15000", "X-Expires-In-Ms: soon");
             assertRecorded("client-bad-time", masked(exchange(sidecar.address(), noTime)));
         }
     }
@@ -228,22 +234,28 @@
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(busy);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                list(SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING"))),
                         null)) {
-            assertRecorded("client-rejected", masked(exchange(sidecar.address(), SidecarFixture.issue("a", 15_000))));
+            assertRecorded(
+                    "client-rejected", masked(exchange(sidecar.address(), SidecarFixture.issueRequest("a", 15_000))));
         }
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(broken);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                list(SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING"))),
                         null)) {
-            assertRecorded("client-failed", masked(exchange(sidecar.address(), SidecarFixture.issue("a", 15_000))));
+            assertRecorded(
+                    "client-failed", masked(exchange(sidecar.address(), SidecarFixture.issueRequest("a", 15_000))));
         }
     }
 
     @Test
     void discoverySeesACallForTheWholeListAndThenAWatch() throws Exception {
-        String first = list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"));
+        String first = list(SidecarFixture.endpointRow("s-0", "127.0.0.1:1", "SERVING"));
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + first.length() + "\r\n\r\n" + first;
         try (RecordingServer discovery = new RecordingServer(answer);
                 Sidecar sidecar = start(config(discovery.address(), "{\"seq\":1,\"hosts\":[]}"), null)) {
@@ -257,7 +269,7 @@
     void operatorsSeeTheAnswersOfTheirCalls() throws Exception {
         try (RecordingServer discovery = new RecordingServer(null);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"))),
+                        config(discovery.address(), list(SidecarFixture.endpointRow("s-0", "127.0.0.1:1", "SERVING"))),
                         null)) {
             StringBuilder seen = new StringBuilder();
             for (String line : new String[] {
@@ -286,7 +298,8 @@
             peer.setSoTimeout(10_000);
             String own = "\"127.0.0.1:" + free.getLocalPort() + "\"";
             free.close();
-            String config = config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING")))
+            String config = config(
+                            discovery.address(), list(SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING")))
                     .replace("\"siblings\":1", "\"siblings\":2,\"me\":0")
                     .replace("\"allowed\":{", "\"allowed\":{\"peers\":true,")
                     .replace(
@@ -294,7 +307,7 @@
                             "\"peer_listen\":" + own + ",\"peers\":[" + own + ",\"127.0.0.1:" + peer.getLocalPort()
                                     + "\"],\"seed\"");
             try (Sidecar sidecar = start(config, null)) {
-                exchange(sidecar.address(), SidecarFixture.read("a", 15_000));
+                exchange(sidecar.address(), SidecarFixture.readRequest("a", 15_000));
                 assertRecorded("peer-started", datagram(peer));
                 // The last character tells how long the attempt took.
                 assertRecorded("peer-ended", datagram(peer).substring(0, 4));
@@ -324,7 +337,7 @@
         Files.createFile(handoverFolder.resolve(HANDOVER_PREFIX + "1.lock"));
         try (RecordingServer discovery = new RecordingServer(null);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING")))
+                        config(discovery.address(), list(SidecarFixture.endpointRow("s-0", "127.0.0.1:1", "SERVING")))
                                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + address + "\""),
                         handoverFolder)) {
             String up = exchange(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
