--- a/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
+++ b/core/src/test/java/portrelay/gossip/SubsetAssignmentTest.java
@@ -16,14 +16,14 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** How upstreams are cut into segments, and how sidecars are spread over them. */
+/** Tests how upstreams are divided into segments, and how sidecars are assigned to them. */
 class SubsetAssignmentTest {
 
     private static final int SIDECARS = 40;
     private static final int MAX_SIDECARS_PER_SEGMENT = 14;
     private static final int ZONES = 2;
 
-    /** Upstreams of one size, in as many cells and zones as said. */
+    /** Returns an assignment of upstreams of equal size, with {@link #ZONES} zones of one cell each. */
     private static SubsetAssignment assignment(int upstreams) {
         List<SubsetAssignment.UpstreamSlot> slots = new ArrayList<>();
         for (int i = 0; i < upstreams; i++) {
@@ -40,7 +40,7 @@
         return new SubsetAssignment(slots, SIDECARS, MAX_SIDECARS_PER_SEGMENT);
     }
 
-    /** The first {@code ofFirstZone} sidecars are in zone 0, the others in zone 1. */
+    /** Returns members of which the first {@code ofFirstZone} are in zone 0 and the others in zone 1. */
     private static Map<Integer, Character> members(int ofFirstZone) {
         Map<Integer, Character> members = new TreeMap<>(Comparator.comparing(Rendezvous::hashToUnit));
         for (int i = 0; i < SIDECARS; i++) {
@@ -49,7 +49,7 @@
         return members;
     }
 
-    private static double inZone(Map<Integer, SubsetAssignment.Segment> assignment, int zone) {
+    private static double countInZone(Map<Integer, SubsetAssignment.Segment> assignment, int zone) {
         char code = PeerMessageCodec.zoneCode(zone);
         return assignment.values().stream().filter(each -> each.zone() == code).count();
     }
@@ -57,27 +57,30 @@
     @Test
     void eachUpstreamIsInOneSegmentOfItsCell() {
         List<SubsetAssignment.Segment> segments = assignment(12).segments();
-        assertEquals(4, segments.size(), "20 sidecars a cell, at most 14 a segment");
-        List<Integer> seats = segments.stream()
-                .flatMap(each -> each.seats().stream())
+        assertEquals(4, segments.size(), "20 sidecars per cell, at most 14 per segment");
+        List<Integer> slotIndexes = segments.stream()
+                .flatMap(each -> each.slotIndexes().stream())
                 .sorted()
                 .toList();
-        assertEquals(IntStream.range(0, 12).boxed().toList(), seats);
+        assertEquals(IntStream.range(0, 12).boxed().toList(), slotIndexes);
         for (SubsetAssignment.Segment each : segments) {
             assertEquals(
                     1,
-                    each.seats().stream().map(seat -> seat % ZONES).distinct().count());
+                    each.slotIndexes().stream()
+                            .map(index -> index % ZONES)
+                            .distinct()
+                            .count());
             assertEquals(3, each.size());
         }
     }
 
-    /** Guards against upstreams of one segment that share a code on the wire. */
+    /** Guards against two upstreams of a segment sharing a code on the wire. */
     @Test
     void aSegmentHasNoMoreUpstreamsThanCodes() {
         for (SubsetAssignment.Segment each : assignment(400).segments()) {
             assertTrue(
-                    each.seats().size() <= PeerMessageCodec.SUBSET_CODES,
-                    each.seats().size() + " upstreams");
+                    each.slotIndexes().size() <= PeerMessageCodec.SUBSET_CODES,
+                    each.slotIndexes().size() + " upstreams");
         }
     }
 
@@ -93,15 +96,15 @@
     }
 
     @Test
-    void sidecarsBeyondTheirZonesSizeGoToOthers() {
+    void sidecarsBeyondTheSizeOfTheirZoneAreAssignedToOtherZones() {
         Map<Integer, SubsetAssignment.Segment> assigned = assignment(12).assign(members(30), false);
-        assertEquals(20, inZone(assigned, 0), 1);
-        assertEquals(20, inZone(assigned, 1), 1);
+        assertEquals(20, countInZone(assigned, 0), 1);
+        assertEquals(20, countInZone(assigned, 1), 1);
     }
 
     @Test
-    void allStayInTheirZonesWhileFewAreKnown() {
+    void allSidecarsStayInTheirZonesWhileFewAreKnown() {
         Map<Integer, SubsetAssignment.Segment> assigned = assignment(12).assign(members(30), true);
-        assertEquals(30, inZone(assigned, 0));
+        assertEquals(30, countInZone(assigned, 0));
     }
 }
--- a/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
+++ b/daemon/src/main/java/portrelay/net/client/RequestDispatcher.java
@@ -19,8 +19,8 @@
 import portrelay.shutdown.Shutdown;
 
 /**
- * Makes an {@link IncomingRequest} of a request that was read, rejects what can't be forwarded and hands the others to
- * admission. Owns the requests that wait for a response.
+ * Creates an {@link IncomingRequest} from each request that was read, rejects those that can't be forwarded and passes
+ * the others to admission. Owns the requests that wait for a response.
  */
 final class RequestDispatcher {
 
@@ -33,10 +33,10 @@
     private final ResponseWriter responses;
     private final Shutdown shutdown;
     private final double retryAfterSeconds;
-    /** Those that wait for a response, by the ids that their clients gave. */
+    /** The requests that wait for a response, by the ids that their clients gave. */
     private final Map<String, ClientResponder> pending = new HashMap<>();
 
-    private long dispatched;
+    private long dispatchedCount;
     private int rejectedDuringShutdown;
 
     RequestDispatcher(
@@ -60,16 +60,16 @@
         this.retryAfterSeconds = retryAfterSeconds;
     }
 
-    /** How many requests were rejected because the process shuts down. */
+    /** Returns the number of requests rejected here because of the shutdown. */
     int rejectedDuringShutdown() {
         return rejectedDuringShutdown;
     }
 
     /**
-     * Called once for each request whose framing is sound.
+     * Passes a request to admission or rejects it. Called once for each request with valid framing.
      *
-     * @param body the complete body; empty where {@code requestBody} is given
-     * @param requestBody a long body that is still coming, or null
+     * @param body the complete body; empty if {@code requestBody} is given
+     * @param requestBody a long body that is still being received, or null
      */
     void dispatch(HttpServerExchange exchange, byte[] body, RequestBody requestBody) {
         RequestArrival arrival;
@@ -84,21 +84,21 @@
             return;
         }
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-        String clientsId = arrival.id().value();
-        // Unique from here on: what is still reported of a request that its client gave up must not be taken for news
-        // of the client's retry, which may carry the same id.
-        RequestArrival unique = arrival.withId(new RequestId(clientsId + " " + ++dispatched));
+        String clientRequestId = arrival.id().value();
+        // A unique id: late events of a request that its client gave up must not be attributed to the client's retry,
+        // which may carry the same id.
+        RequestArrival uniqueArrival = arrival.withId(new RequestId(clientRequestId + " " + ++dispatchedCount));
         ClientResponder responder = new ClientResponder(
-                loop, log, connections, responses, this, exchange, clientsId, unique.id(), requestBody);
+                loop, log, connections, responses, this, exchange, clientRequestId, uniqueArrival.id(), requestBody);
         connections.phaseChanged(connection, ConnectionCapacity.Phase.ASKED);
-        connections.requestBegan(connection, clientsId, exchange::getResponseBytesSent);
-        if (rejectIfNotForwardable(exchange, responder, unique)) {
+        connections.requestBegan(connection, clientRequestId, exchange::getResponseBytesSent);
+        if (rejectIfNotForwardable(exchange, responder, uniqueArrival)) {
             return;
         }
-        pending.put(clientsId, responder);
-        log.debug(() -> takenLine(clientsId, connection, unique));
+        pending.put(clientRequestId, responder);
+        log.debug(() -> requestTakenLogLine(clientRequestId, connection, uniqueArrival));
         IncomingRequest incoming = new IncomingRequest(
-                unique,
+                uniqueArrival,
                 exchange.getRequestMethod(),
                 target(exchange),
                 exchange.getRequestHeaders(),
@@ -114,27 +114,27 @@
     private RequestArrival readArrival(HttpServerExchange exchange, byte[] body, RequestBody requestBody)
             throws MalformedRequestException {
         boolean isStreamed = requestBody != null;
-        double since = connections.earliestArrival((HttpServerConnection) exchange.getConnection());
+        double arrivedAt = connections.earliestArrival((HttpServerConnection) exchange.getConnection());
         RequestArrival arrival =
-                reader.read(exchange, isStreamed || body.length > 0, isStreamed, since, shutdown.answerDeadline());
-        ClientResponder open = pending.get(arrival.id().value());
-        if (open != null && !open.isOver()) {
+                reader.read(exchange, isStreamed || body.length > 0, isStreamed, arrivedAt, shutdown.answerDeadline());
+        ClientResponder openResponder = pending.get(arrival.id().value());
+        if (openResponder != null && !openResponder.isOver()) {
             throw new MalformedRequestException(StatusCodes.CONFLICT, "a query of this id is open");
         }
         return arrival;
     }
 
-    /** The raw path and query, as they are forwarded. */
+    /** Returns the raw path and query, as they are forwarded. */
     private static String target(HttpServerExchange exchange) {
         String query = exchange.getQueryString();
         return HeaderForwarding.path(exchange) + (query.isEmpty() ? "" : "?" + query);
     }
 
-    /** Rejects the request and returns true where it may not reach admission; no attempt has been made then. */
+    /** Rejects the request and returns true if it must not reach admission; no attempt has been made in that case. */
     private boolean rejectIfNotForwardable(
             HttpServerExchange exchange, ClientResponder responder, RequestArrival arrival) {
-        if (connections.isFullOfRequests()) {
-            // No connection is left that could be evicted.
+        if (connections.exceedsRequestCapacity()) {
+            // There is no connection left to evict.
             counters.countRejectedForCapacity();
             exchange.setPersistent(false);
             responder.rejected(0);
@@ -142,7 +142,7 @@
         }
         boolean mayForward = shutdown.mayForward(loop.now());
         if (!mayForward || arrival.deadline() <= loop.now()) {
-            // Late in a shutdown, or the deadline passed while it waited behind another one on its connection.
+            // Late in a shutdown, or the deadline passed while a pipelined request waited for the one before it.
             rejectedDuringShutdown += mayForward ? 0 : 1;
             responder.rejected(retryAfterSeconds);
             return true;
@@ -150,22 +150,26 @@
         return false;
     }
 
-    /** The first of the two debug lines of each request; the second tells its response or its connection's end. */
-    private String takenLine(String clientsId, HttpServerConnection connection, RequestArrival arrival) {
+    /**
+     * Returns the first of the two debug lines of each request; the second reports the response or the end of the
+     * connection.
+     */
+    private String requestTakenLogLine(
+            String clientRequestId, HttpServerConnection connection, RequestArrival arrival) {
         return String.format(
                 Locale.ROOT,
                 "request taken: request=%s connection=%s left=%.3f",
-                Log.clean(clientsId),
+                Log.clean(clientRequestId),
                 connection.getPeerAddress(),
                 arrival.deadline() - loop.now());
     }
 
-    /** The response has begun, or nobody waits for one any more. */
-    void ended(ClientResponder responder) {
-        pending.remove(responder.clientsId(), responder);
+    /** Removes a request whose response has begun or whose client no longer waits for one. */
+    void responderEnded(ClientResponder responder) {
+        pending.remove(responder.clientRequestId(), responder);
     }
 
-    /** The client of a request that had no response yet is gone. */
+    /** Reports to admission that the client left before the response began. */
     void clientLeft(RequestId id) {
         admission.clientLeft(id);
     }
