--- a/daemon/src/test/java/portrelay/net/AdminNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdminNetTest.java
@@ -25,17 +25,17 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** Operators' calls over sockets: each call, slow callers, and out of service. */
+/** Tests operator calls over sockets: each call, slow callers, and a sidecar out of service. */
 class AdminNetTest {
 
     @Test
-    void eachCallIsAnsweredOnceAndEndsItsConnection() throws Exception {
+    void eachOperatorCallIsAnsweredAndItsConnectionClosed() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"), answer("200 OK", "v"))) {
-            Socket one = fixture.connectAdmin();
-            Message ready = SidecarFixture.exchange(one, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+            Socket caller = fixture.connectAdmin();
+            Message ready = SidecarFixture.exchange(caller, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(200, ready.status());
             assertEquals("close", ready.header("Connection"));
-            assertEquals(-1, one.getInputStream().read());
+            assertEquals(-1, caller.getInputStream().read());
             for (int i = 0; i < 2; i++) {
                 assertEquals(
                         200,
@@ -55,16 +55,16 @@
             assertEquals(404, fixture.callAdmin("GET /control").status());
             assertEquals(
                     400, fixture.callAdmin("PUT /control/upstreams/s%2/offline").status());
-            Message wrong = fixture.callAdmin("POST /control/in-service");
-            assertEquals(405, wrong.status());
-            assertEquals("PUT", wrong.header("Allow"));
+            Message rejected = fixture.callAdmin("POST /control/in-service");
+            assertEquals(405, rejected.status());
+            assertEquals("PUT", rejected.header("Allow"));
             assertEquals("GET", fixture.callAdmin("PUT /control/ready").header("Allow"));
             assertEquals(400, fixture.callAdmin("PUT").status());
         }
     }
 
     @Test
-    void theBodyIsNotAwaitedAndItsLateBytesDoNotResetTheAnswer() throws Exception {
+    void aCallIsAnsweredBeforeItsBodyArrivesAndLateBodyBytesDoNotResetTheResponse() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"))) {
             Socket caller = fixture.connectAdmin();
             String head = "PUT /control/out-of-service HTTP/1.1\r\nHost: a\r\n" + "Content-Length: 50000000\r\n\r\n";
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void silentAndIncompleteCallersDelayNobody() throws Exception {
+    void silentAndIncompleteOperatorCallsDelayNeitherOtherCallsNorClients() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(256, answer("200 OK", "u"))) {
             List<Socket> slow = new ArrayList<>();
             for (int i = 0; i < 240; i++) {
@@ -96,22 +96,23 @@
                             200,
                             fixture.callAdmin("PUT /control/upstreams/s-0/online")
                                     .status());
-                    assertTrue(System.nanoTime() - start < 1e9, "late behind " + i);
+                    assertTrue(System.nanoTime() - start < 1e9, "answered late after silent callers: " + i);
                 }
             }
-            // They hold no descriptor that clients need.
+            // The silent callers take no descriptor that clients need.
             for (int i = 0; i < 20; i++) {
                 assertEquals(
                         200,
                         fixture.exchange(SidecarFixture.readRequest("a" + i, 900))
                                 .status());
             }
-            // The oldest was closed: only a few dozen are held.
-            assertEquals(-1, end(slow.get(0)));
+            // The oldest one has been closed: only a few dozen may stay open.
+            assertEquals(-1, readByte(slow.get(0)));
         }
     }
 
-    private static int end(Socket caller) throws IOException {
+    /** Returns the next byte, or -1 where the connection was closed or reset. */
+    private static int readByte(Socket caller) throws IOException {
         try {
             return caller.getInputStream().read();
         } catch (SocketException e) {
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void aDisabledUpstreamGetsNothingWhateverTheListSays() throws Exception {
+    void aDisabledUpstreamGetsNoRequestsWhateverTheEndpointListSays() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"), answer("200 OK", "v"))) {
             for (int i = 0; i < 20; i++) {
                 assertEquals(
@@ -132,7 +133,7 @@
             fixture.discovery.next();
             assertEquals(
                     200, fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
-            // Idle connections there are closed at once.
+            // Idle connections to it are closed at once.
             assertTrue(fixture.upstreams.get(0).closed.poll(900, TimeUnit.MILLISECONDS) != null);
             fixture.upstreams.get(0).received.clear();
             String list = "{\"seq\":8,\"whole\":true,\"hosts\":[" + fixture.endpointRow(0, "SERVING") + ","
@@ -151,7 +152,7 @@
                     200, fixture.callAdmin("PUT /control/upstreams/s-0/online").status());
             long until = System.nanoTime() + 5_000_000_000L;
             for (int i = 0; fixture.upstreams.get(0).received.isEmpty(); i++) {
-                assertTrue(System.nanoTime() < until, "never used again");
+                assertTrue(System.nanoTime() < until, "the upstream that is back online is never used again");
                 fixture.exchange(SidecarFixture.readRequest("c" + i, 900));
                 Thread.sleep(5);
             }
@@ -164,18 +165,18 @@
             assertEquals(
                     200, fixture.callAdmin("PUT /control/upstreams/s-0/offline").status());
             long start = System.nanoTime();
-            Message got = fixture.exchange(SidecarFixture.issueRequest("a", 900));
-            assertEquals(429, got.status());
-            assertTrue(System.nanoTime() - start < 0.06e9, "waited for nothing");
-            assertTrue(Double.parseDouble(got.header("Retry-After")) > 0);
+            Message rejection = fixture.exchange(SidecarFixture.issueRequest("a", 900));
+            assertEquals(429, rejection.status());
+            assertTrue(System.nanoTime() - start < 0.06e9, "rejected late");
+            assertTrue(Double.parseDouble(rejection.header("Retry-After")) > 0);
         }
     }
 
     @Test
-    void whatRunsAtADisabledUpstreamIsFinished() throws Exception {
-        try (SidecarFixture fixture = new SidecarFixture((message, on) -> {
+    void anAttemptInFlightAtADisabledUpstreamIsFinished() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture((message, connection) -> {
             Thread.sleep(300);
-            answer("200 OK", "u").run(message, on);
+            answer("200 OK", "u").run(message, connection);
         })) {
             Socket client = fixture.connect();
             client.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
@@ -210,7 +211,7 @@
             assertEquals(-1, used.getInputStream().read());
             assertEquals(
                     200, fixture.exchange(SidecarFixture.readRequest("d", 900)).status());
-            // Still open, for a request that the client is sending.
+            // Still open, as the client may be sending a request.
             idle.setSoTimeout(250);
             assertThrows(
                     SocketTimeoutException.class, () -> idle.getInputStream().read());
@@ -219,18 +220,18 @@
             silent.setSoTimeout(1500);
             assertEquals(-1, silent.getInputStream().read());
             assertEquals(200, fixture.callAdmin("PUT /control/in-service").status());
-            Socket back = fixture.connect();
+            Socket returned = fixture.connect();
             assertEquals(
                     200,
-                    SidecarFixture.exchange(back, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                    SidecarFixture.exchange(returned, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                             .status());
-            assertNull(SidecarFixture.exchange(back, SidecarFixture.readRequest("e", 900))
+            assertNull(SidecarFixture.exchange(returned, SidecarFixture.readRequest("e", 900))
                     .header("Connection"));
         }
     }
 
     @Test
-    void backInServiceEndsTheDrain() throws Exception {
+    void aSidecarBackInServiceKeepsItsIdleConnectionsOpen() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(answer("200 OK", "u"))) {
             Socket idle = fixture.connect();
             assertEquals(
@@ -251,10 +252,10 @@
 
     @Test
     void aLongRequestIsFinishedWhileOutOfService() throws Exception {
-        // The deadline is far off: only being out of service may end the request.
-        Script slow = (message, on) -> {
+        // The deadline is far away, so that only being out of service could end the request.
+        Script slow = (message, connection) -> {
             Thread.sleep(800);
-            answer("200 OK", "u").run(message, on);
+            answer("200 OK", "u").run(message, connection);
         };
         try (SidecarFixture fixture = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), slow)) {
             Socket client = fixture.connect();
@@ -284,22 +285,22 @@
     }
 
     @Test
-    void anInvalidOrTakenAdminAddressIsNamed() throws Exception {
-        String good = SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 64);
-        String bad = good.replace("\"mgmt\":\"127.0.0.1:0\"", "\"mgmt\":\"here:1\"");
-        byte[] json = bad.getBytes(ISO_8859_1);
-        String named = assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json))
+    void anInvalidOrOccupiedAdminAddressIsReportedWithItsSetting() throws Exception {
+        String validConfig = SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 64);
+        String invalidConfig = validConfig.replace("\"mgmt\":\"127.0.0.1:0\"", "\"mgmt\":\"here:1\"");
+        byte[] json = invalidConfig.getBytes(ISO_8859_1);
+        String message = assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json))
                 .getMessage();
-        assertTrue(named.startsWith("mgmt:"), named);
-        SidecarConfig config = SidecarConfig.parse(good.getBytes(ISO_8859_1));
-        named = assertThrows(InvalidSettingException.class, () -> config.withMgmt("there"))
+        assertTrue(message.startsWith("mgmt:"), message);
+        SidecarConfig config = SidecarConfig.parse(validConfig.getBytes(ISO_8859_1));
+        message = assertThrows(InvalidSettingException.class, () -> config.withMgmt("there"))
                 .getMessage();
-        assertTrue(named.startsWith("LB_MGMT:"), named);
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            SidecarConfig two = config.withMgmt("127.0.0.1:" + taken.getLocalPort());
-            String why = assertThrows(IOException.class, () -> Sidecar.start(two, System.err))
+        assertTrue(message.startsWith("LB_MGMT:"), message);
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            SidecarConfig conflicting = config.withMgmt("127.0.0.1:" + occupied.getLocalPort());
+            String cause = assertThrows(IOException.class, () -> Sidecar.start(conflicting, System.err))
                     .getMessage();
-            assertTrue(why.startsWith("mgmt "), why);
+            assertTrue(cause.startsWith("mgmt "), cause);
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
@@ -29,108 +29,114 @@
 import portrelay.net.SidecarFixture.Script;
 import portrelay.net.client.RequestFramingFilter;
 
-/** Admission over sockets: connection capacity, fair queues, Retry-After. */
+/** Tests admission over sockets: connection capacity, fair queues and Retry-After. */
 @Timeout(30)
 class AdmissionNetTest {
 
-    /** Answers after so many milliseconds; any number at once. */
-    private static Script after(long millis) {
-        return (m, on) -> {
+    /** Serves each message after so many milliseconds; the messages of all connections concurrently. */
+    private static Script serveAfter(long millis) {
+        return (message, connection) -> {
             Thread.sleep(millis);
-            answer("200 OK", "ok").run(m, on);
+            answer("200 OK", "ok").run(message, connection);
         };
     }
 
-    private static double arrival(SidecarFixture testbed, String id) throws IOException {
+    /** Sends a request on a new connection and returns the seconds until it is served. */
+    private static double secondsToServe(SidecarFixture testbed, String id) throws IOException {
         long start = System.nanoTime();
         assertEquals(200, testbed.exchange(SidecarFixture.readRequest(id, 900)).status(), id);
         return (System.nanoTime() - start) / 1e9;
     }
 
-    /** Guards against connections that send no complete request locking clients out. */
+    /**
+     * Guards against clients that are locked out by connections without a complete request or that read no response.
+     */
     @Test
-    void silentSlowAndUnreadingConnectionsDoNotKeepAUsualClientWaiting() throws Exception {
-        CountDownLatch until = new CountDownLatch(1);
+    void silentSlowAndUnreadingConnectionsDoNotDelayUsualClients() throws Exception {
+        CountDownLatch stop = new CountDownLatch(1);
         ExecutorService threads = Executors.newCachedThreadPool();
         try (SidecarFixture testbed = new SidecarFixture(120, answer("200 OK", "ok"))) {
             for (int i = 0; i < 10; i++) {
                 Future<?> ignored = threads.submit(() -> {
-                    // Connects again as soon as it is closed, and never sends a byte.
-                    while (until.getCount() > 0) {
-                        try (Socket on = testbed.connect()) {
-                            on.getInputStream().read();
+                    // Never sends a byte, and connects again as soon as it is closed.
+                    while (stop.getCount() > 0) {
+                        try (Socket client = testbed.connect()) {
+                            client.getInputStream().read();
                         }
                     }
                     return null;
                 });
             }
-            double worst = 0;
+            double longest = 0;
             for (int i = 0; i < 150; i++) {
-                Socket bad = testbed.connect();
-                String slow = "GET /read/x HTTP/1.1\r\nHost: a\r\nX-Slow: ";
-                String says = List.of("", slow, SidecarFixture.readRequest("u" + i, 900))
+                Socket unusual = testbed.connect();
+                String incomplete = "GET /read/x HTTP/1.1\r\nHost: a\r\nX-Slow: ";
+                String bytes = List.of("", incomplete, SidecarFixture.readRequest("u" + i, 900))
                         .get(i % 3);
-                bad.getOutputStream().write(says.getBytes(ISO_8859_1));
-                worst = Math.max(worst, arrival(testbed, "usual" + i));
+                unusual.getOutputStream().write(bytes.getBytes(ISO_8859_1));
+                longest = Math.max(longest, secondsToServe(testbed, "usual" + i));
             }
-            until.countDown();
-            assertTrue(worst < 0.15, "waited " + worst);
+            stop.countDown();
+            assertTrue(longest < 0.15, "seconds that a usual client waited: " + longest);
         } finally {
             threads.shutdownNow();
         }
     }
 
-    /** All have sent bytes before one is tried for eviction, so none is evicted; guards against trying without end. */
+    /**
+     * All connections have sent bytes before the first is considered for eviction, so none can be evicted; guards
+     * against looking for one without end.
+     */
     @Test
-    void moreRequestsAtOnceThanConnectionsAreEachAnsweredOrClosed() throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(60, after(50))) {
-            List<Socket> all = new ArrayList<>();
+    void withMoreConcurrentRequestsThanConnectionsEachIsAnsweredOrClosed() throws Exception {
+        try (SidecarFixture testbed = new SidecarFixture(60, serveAfter(50))) {
+            List<Socket> clients = new ArrayList<>();
             for (int round = 0; round < 5; round++) {
                 for (int i = 0; i < 60; i++) {
-                    Socket one = testbed.connect();
-                    one.getOutputStream()
+                    Socket client = testbed.connect();
+                    client.getOutputStream()
                             .write(SidecarFixture.readRequest("q" + round + "-" + i, 900)
                                     .getBytes(ISO_8859_1));
-                    all.add(one);
+                    clients.add(client);
                 }
             }
             int answered = 0;
-            for (Socket each : all) {
+            for (Socket client : clients) {
                 try {
-                    Message got = Message.read(each.getInputStream());
-                    answered += got == null ? 0 : 1;
+                    Message response = Message.read(client.getInputStream());
+                    answered += response == null ? 0 : 1;
                 } catch (SocketException e) {
                     // Evicted.
                 }
             }
-            assertTrue(answered >= 40, answered + " answered");
+            assertTrue(answered >= 40, "requests answered: " + answered);
             assertEquals(
                     200,
                     testbed.exchange(SidecarFixture.readRequest("after", 900)).status());
         }
     }
 
-    /** Guards against idle connections keeping the capacity from new clients. */
+    /** Guards against idle connections that use up the capacity for new clients. */
     @Test
-    void clientsThatSendOneRequestAndKeepTheirConnectionLockNobodyOut() throws Exception {
+    void clientsThatKeepTheirConnectionAfterOneRequestLockNobodyOut() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(120, answer("200 OK", "ok"))) {
             for (int i = 0; i < 300; i++) {
-                assertTrue(arrival(testbed, "q" + i) < 0.5, "request " + i);
+                assertTrue(secondsToServe(testbed, "q" + i) < 0.5, "request " + i);
             }
-            // Well before an idle connection would be closed by itself.
-            long until = System.nanoTime() + 1_500_000_000L;
+            // Ends well before the sidecar would close idle connections without need.
+            long deadlineNanos = System.nanoTime() + 1_500_000_000L;
             long open = testbed.clients.size();
-            while (open > 20 && System.nanoTime() < until) {
+            while (open > 20 && System.nanoTime() < deadlineNanos) {
                 open = testbed.clients.stream().filter(AdmissionNetTest::isOpen).count();
             }
-            assertTrue(open <= 20, open + " are idle");
+            assertTrue(open <= 20, "idle connections that are still open: " + open);
         }
     }
 
-    private static boolean isOpen(Socket each) {
+    private static boolean isOpen(Socket client) {
         try {
-            each.setSoTimeout(1);
-            return each.getInputStream().read() >= 0;
+            client.setSoTimeout(1);
+            return client.getInputStream().read() >= 0;
         } catch (SocketTimeoutException e) {
             return true;
         } catch (IOException e) {
@@ -138,164 +144,175 @@
         }
     }
 
-    /** Guards against bytes that are lost because a peek took them out of the kernel. */
+    /** Guards against losing the bytes that a peek read out of the kernel. */
     @Test
-    void peekedBytesAreReadAllTheSame() throws Exception {
+    void bytesThatAPeekReadAreStillRead() throws Exception {
         byte[] request = SidecarFixture.readRequest("a", 900).getBytes(ISO_8859_1);
         ByteBuffer wire = ByteBuffer.wrap(request);
-        AtomicInteger woken = new AtomicInteger();
+        AtomicInteger wakeups = new AtomicInteger();
         StreamSourceConduit source = (StreamSourceConduit) Proxy.newProxyInstance(
                 getClass().getClassLoader(), new Class<?>[] {StreamSourceConduit.class}, (self, method, arguments) -> {
                     if (method.getName().equals("isReadResumed")) {
                         return true;
                     }
                     if (method.getName().equals("wakeupReads")) {
-                        woken.incrementAndGet();
+                        wakeups.incrementAndGet();
                         return null;
                     }
-                    ByteBuffer to = (ByteBuffer) arguments[0];
-                    int count = Math.min(Math.min(30, wire.remaining()), to.remaining());
-                    to.put(wire.slice().limit(count));
+                    ByteBuffer target = (ByteBuffer) arguments[0];
+                    int count = Math.min(Math.min(30, wire.remaining()), target.remaining());
+                    target.put(wire.slice().limit(count));
                     wire.position(wire.position() + count);
                     return count;
                 });
         AtomicInteger received = new AtomicInteger();
-        RequestFramingFilter guard = new RequestFramingFilter(source, received::incrementAndGet, () -> 0);
-        assertTrue(guard.peek());
-        assertEquals(1, woken.get(), "the kernel does not signal bytes that a peek took");
+        RequestFramingFilter filter = new RequestFramingFilter(source, received::incrementAndGet, () -> 0);
+        assertTrue(filter.peek());
+        assertEquals(
+                1, wakeups.get(), "reads were not woken up, and the kernel does not signal bytes that a peek took");
         assertEquals(0, received.get());
         byte[] all = new byte[request.length];
-        for (int got = 0; got < all.length; ) {
-            ByteBuffer some = ByteBuffer.allocate(7);
-            int count = guard.read(some);
+        for (int length = 0; length < all.length; ) {
+            ByteBuffer buffer = ByteBuffer.allocate(7);
+            int count = filter.read(buffer);
             assertTrue(count > 0);
-            System.arraycopy(some.array(), 0, all, got, count);
-            got += count;
+            System.arraycopy(buffer.array(), 0, all, length, count);
+            length += count;
         }
         assertArrayEquals(request, all);
-        assertFalse(guard.peek());
+        assertFalse(filter.peek());
     }
 
-    /** A client that sends the next request as soon as it has a response; counts those that were served. */
+    /**
+     * Starts a client that sends the next request as soon as it has a response, until stopped.
+     *
+     * @param counting has the count 0 while served requests count
+     * @param stop has the count 0 once the client is to end
+     * @return how many requests were served while they counted
+     */
     private static Future<Integer> sendRequests(
             ExecutorService threads,
             SidecarFixture testbed,
             String tenant,
             int n,
-            CountDownLatch from,
-            CountDownLatch until) {
+            CountDownLatch counting,
+            CountDownLatch stop) {
         return threads.submit(() -> {
             int served = 0;
-            Socket on = testbed.connect();
-            for (int i = 0; until.getCount() > 0; i++) {
+            Socket client = testbed.connect();
+            for (int i = 0; stop.getCount() > 0; i++) {
                 String id = tenant + n + "-" + i;
-                Message got = SidecarFixture.exchange(
-                        on, SidecarFixture.readRequest(id, 900).replace("acme", tenant));
-                served += got.status() == 200 && from.getCount() == 0 ? 1 : 0;
+                Message response = SidecarFixture.exchange(
+                        client, SidecarFixture.readRequest(id, 900).replace("acme", tenant));
+                served += response.status() == 200 && counting.getCount() == 0 ? 1 : 0;
             }
             return served;
         });
     }
 
-    /** Guards against a share that follows the number of a tenant's clients. */
+    /** Guards against a tenant's share that grows with the number of its clients. */
     @Test
-    void aQuietTenantsQuotaHoldsAgainstThreeTimesAsManyClients() throws Exception {
+    void aTenantGetsItsShareAgainstOneWithThreeTimesAsManyClients() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
-        CountDownLatch from = new CountDownLatch(1);
-        CountDownLatch until = new CountDownLatch(1);
-        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 8}", after(10), after(10))) {
+        CountDownLatch counting = new CountDownLatch(1);
+        CountDownLatch stop = new CountDownLatch(1);
+        try (SidecarFixture testbed =
+                new SidecarFixture(1024, "{\"most-inside\": 8}", serveAfter(10), serveAfter(10))) {
             List<Future<Integer>> loud = new ArrayList<>();
             List<Future<Integer>> quiet = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 boolean isQuiet = i % 4 == 0;
-                (isQuiet ? quiet : loud).add(sendRequests(threads, testbed, isQuiet ? "beta" : "acme", i, from, until));
+                (isQuiet ? quiet : loud)
+                        .add(sendRequests(threads, testbed, isQuiet ? "beta" : "acme", i, counting, stop));
             }
-            assertFalse(until.await(700, TimeUnit.MILLISECONDS));
-            from.countDown();
-            assertFalse(until.await(2, TimeUnit.SECONDS));
-            until.countDown();
-            double ofQuiet = 0;
-            double ofLoud = 0;
-            for (Future<Integer> each : quiet) {
-                ofQuiet += each.get();
+            assertFalse(stop.await(700, TimeUnit.MILLISECONDS));
+            counting.countDown();
+            assertFalse(stop.await(2, TimeUnit.SECONDS));
+            stop.countDown();
+            double servedToQuiet = 0;
+            double servedToLoud = 0;
+            for (Future<Integer> served : quiet) {
+                servedToQuiet += served.get();
             }
-            for (Future<Integer> each : loud) {
-                ofLoud += each.get();
+            for (Future<Integer> served : loud) {
+                servedToLoud += served.get();
             }
-            assertTrue(ofQuiet + ofLoud > 400, "served " + (ofQuiet + ofLoud));
-            assertEquals(0.5, ofQuiet / (ofQuiet + ofLoud), 0.05);
+            assertTrue(servedToQuiet + servedToLoud > 400, "served " + (servedToQuiet + servedToLoud));
+            assertEquals(0.5, servedToQuiet / (servedToQuiet + servedToLoud), 0.05);
         } finally {
             threads.shutdownNow();
         }
     }
 
-    /** At least nine of ten requests that come back after their Retry-After are admitted. */
+    /** Checks that at least nine of ten requests that return after their Retry-After are admitted. */
     @Test
-    void clientsThatComeBackAfterRetryAfterAreAdmitted() throws Exception {
+    void clientsThatReturnAfterRetryAfterAreAdmitted() throws Exception {
         ExecutorService threads = Executors.newCachedThreadPool();
         List<String> tenants = List.of("acme", "beta");
         AtomicIntegerArray admitted = new AtomicIntegerArray(2);
         AtomicIntegerArray rejected = new AtomicIntegerArray(2);
-        CountDownLatch until = new CountDownLatch(1);
-        try (SidecarFixture testbed =
-                new SidecarFixture(1024, "{\"most-inside\": 8, \"most-waiting\": 16}", after(20), after(20))) {
-            List<Future<?>> all = new ArrayList<>();
+        CountDownLatch stop = new CountDownLatch(1);
+        try (SidecarFixture testbed = new SidecarFixture(
+                1024, "{\"most-inside\": 8, \"most-waiting\": 16}", serveAfter(20), serveAfter(20))) {
+            List<Future<?>> clients = new ArrayList<>();
             for (int n = 0; n < 50; n++) {
                 int client = n;
-                all.add(threads.submit(() -> {
+                clients.add(threads.submit(() -> {
                     String retryAfter = null;
-                    for (int i = 0; until.getCount() > 0; i++) {
-                        String again = retryAfter == null ? "\r\n" : "X-Second-Try: 1\r\n\r\n";
-                        Message got;
+                    for (int i = 0; stop.getCount() > 0; i++) {
+                        String headEnd = retryAfter == null ? "\r\n" : "X-Second-Try: 1\r\n\r\n";
+                        Message response;
                         String request = SidecarFixture.readRequest("c" + client + "-" + i, 900)
                                 .replace("acme", tenants.get(client % 2));
-                        // A connection that was idle meanwhile may have been closed.
-                        try (Socket on = new Socket(
+                        // Connects anew: a connection that was idle meanwhile may have been closed.
+                        try (Socket connection = new Socket(
                                 testbed.sidecar.address().getAddress(),
                                 testbed.sidecar.address().getPort())) {
-                            got = SidecarFixture.exchange(on, request.substring(0, request.length() - 2) + again);
+                            response = SidecarFixture.exchange(
+                                    connection, request.substring(0, request.length() - 2) + headEnd);
                         }
                         if (retryAfter != null) {
-                            (got.status() == 200 ? admitted : rejected).incrementAndGet(client % 2);
+                            (response.status() == 200 ? admitted : rejected).incrementAndGet(client % 2);
                         }
-                        retryAfter = got.header("Retry-After");
-                        until.await(
+                        retryAfter = response.header("Retry-After");
+                        stop.await(
                                 retryAfter == null ? 20_000 : (long) (Double.parseDouble(retryAfter) * 1e6),
                                 TimeUnit.MICROSECONDS);
                     }
                     return null;
                 }));
             }
-            assertFalse(until.await(3, TimeUnit.SECONDS));
-            until.countDown();
-            for (Future<?> each : all) {
-                each.get();
+            assertFalse(stop.await(3, TimeUnit.SECONDS));
+            stop.countDown();
+            for (Future<?> running : clients) {
+                running.get();
             }
             for (int tenant = 0; tenant < 2; tenant++) {
-                int kept = admitted.get(tenant);
-                String counts = tenants.get(tenant) + ": " + kept + " admitted, " + rejected.get(tenant) + " rejected";
-                assertTrue(kept > 50 && kept >= 0.9 * (kept + rejected.get(tenant)), counts);
+                int admittedCount = admitted.get(tenant);
+                String counts =
+                        tenants.get(tenant) + ": " + admittedCount + " admitted, " + rejected.get(tenant) + " rejected";
+                assertTrue(admittedCount > 50 && admittedCount >= 0.9 * (admittedCount + rejected.get(tenant)), counts);
             }
         } finally {
             threads.shutdownNow();
         }
     }
 
-    /** Guards against a drain that leaves queued requests without a response. */
+    /** Guards against a drain that leaves queued requests unanswered. */
     @Test
     void aDrainAnswersAllQueuedRequests() throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 2}", after(100))) {
+        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 2}", serveAfter(100))) {
             List<Socket> waiting = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                Socket one = testbed.connect();
-                one.getOutputStream()
+                Socket client = testbed.connect();
+                client.getOutputStream()
                         .write(SidecarFixture.readRequest("q" + i, 900).getBytes(ISO_8859_1));
-                waiting.add(one);
+                waiting.add(client);
             }
             testbed.upstreams.get(0).next();
             testbed.sidecar.drain();
-            for (Socket each : waiting) {
-                int status = Message.read(each.getInputStream()).status();
+            for (Socket client : waiting) {
+                int status = Message.read(client.getInputStream()).status();
                 assertTrue(status == 200 || status == 429, "status " + status);
             }
         }
--- a/daemon/src/test/java/portrelay/net/ClientLeavesTest.java
+++ b/daemon/src/test/java/portrelay/net/ClientLeavesTest.java
@@ -25,20 +25,22 @@
 import portrelay.net.SidecarFixture.ScriptedServer;
 
 /**
- * A request whose client left while it waited is not forwarded, wherever it waited: what reaches the upstreams is
- * counted. The event loop is held until the client's end lies in the kernel, so that it is read in the same turn of the
- * loop as what the request waits for. docs/crossings.md, "A client that leaves".
+ * Tests that a request whose client left while it waited is not forwarded, wherever it waited.
+ *
+ * <p>The requests that reach the upstreams are counted. The event loop is blocked until the client's end has arrived in
+ * the kernel, so that the loop reads it in the same iteration as the event that the request waits for.
+ * docs/crossings.md, "A client that leaves".
  */
 @Timeout(30)
 class ClientLeavesTest {
 
-    /** How the client's end comes. */
+    /** The ways in which a client ends its connection. */
     enum ClientEnd {
         FIN,
         RESET
     }
 
-    private static final Script SERVES = answer("200 OK", "u");
+    private static final Script SERVE = answer("200 OK", "u");
     private static final Script NOT_EXECUTED = answer("503 Busy\r\nX-Never-Ran: 1", "");
 
     private static Socket send(SidecarFixture testbed, String bytes) throws Exception {
@@ -47,7 +49,7 @@
         return client;
     }
 
-    /** Returns when the end lies at the sidecar, unread. */
+    /** Ends the client's connection; returns once the end has arrived at the sidecar's socket, where it is unread. */
     private static void leave(Socket client, ClientEnd end) throws Exception {
         int local = client.getLocalPort();
         int port = client.getPort();
@@ -58,48 +60,49 @@
         BlockedEventLoop.awaitClosed(client, local, port);
     }
 
-    /** No request is open any more, and so many requests reached the upstreams. */
-    private static void assertNothingOpen(SidecarFixture testbed, int sent) throws Exception {
+    /** Waits until no request is open and checks how many requests the upstreams received. */
+    private static void assertNothingOpen(SidecarFixture testbed, int receivedCount) throws Exception {
         assertNothingOpen(testbed);
-        assertEquals(sent, testbed.receivedCount());
+        assertEquals(receivedCount, testbed.receivedCount());
     }
 
+    /** Waits until no request is open; fails the test after 5 s. */
     private static void assertNothingOpen(SidecarFixture testbed) throws Exception {
-        long until = System.nanoTime() + 5_000_000_000L;
+        long deadlineNanos = System.nanoTime() + 5_000_000_000L;
         AtomicInteger open = new AtomicInteger(1);
         while (open.get() > 0) {
             BlockedEventLoop.runOn(testbed.sidecar.loop, () -> open.set(testbed.sidecar.loadBalancer.openCount()));
-            assertTrue(System.nanoTime() < until, open + " requests are left");
+            assertTrue(System.nanoTime() < deadlineNanos, open + " requests are still open");
         }
         BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
     }
 
     @ParameterizedTest
     @EnumSource
-    void whileTheLoopWasLate(ClientEnd end) throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+    void aRequestWhoseClientLeftWhileTheLoopWasBlockedIsNotForwarded(ClientEnd end) throws Exception {
+        try (SidecarFixture testbed = new SidecarFixture(SERVE)) {
+            try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                 String request = SidecarFixture.issueRequest("a", 900);
                 Socket client = send(testbed, request);
                 BlockedEventLoop.awaitUnread(client, request.length());
                 leave(client, end);
-                held.release();
+                blocked.release();
             }
             assertNothingOpen(testbed, 0);
         }
     }
 
-    /** The next request lies behind it, read in one piece with it or after it. */
+    /** A pipelined request is read together with the first one or after it, before the client's end. */
     @ParameterizedTest
     @EnumSource
-    void withTheNextRequestSentAhead(ClientEnd end) throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+    void theEndOfAClientAfterAPipelinedRequestIsNoticed(ClientEnd end) throws Exception {
+        try (SidecarFixture testbed = new SidecarFixture(SERVE)) {
+            try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                 String both = SidecarFixture.issueRequest("a", 900) + SidecarFixture.issueRequest("b", 900);
                 Socket client = send(testbed, both);
                 BlockedEventLoop.awaitUnread(client, both.length());
                 leave(client, end);
-                held.release();
+                blocked.release();
             }
             assertNothingOpen(testbed, 0);
         }
@@ -116,22 +119,22 @@
                     BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
                 }
                 leave(client, end);
-                // Long before its deadline.
+                // Long before the request's deadline.
                 assertNotNull(testbed.upstreams.get(0).closed.poll(4, TimeUnit.SECONDS));
                 assertNothingOpen(testbed, 0);
             }
         }
     }
 
-    /** What is sent ahead is read to find the client's end behind it; guards against losing it. */
+    /** Pipelined bytes are read ahead to find the client's end after them; guards against losing them. */
     @Test
-    void aLongNextRequestThatWasReadAheadIsStillServed() throws Exception {
-        String long1 = "x".repeat(50_000);
+    void aLongPipelinedRequestThatWasReadAheadIsStillServed() throws Exception {
+        String longBody = "x".repeat(50_000);
         String next = SidecarFixture.requestHead("POST /issue/x", "b", "issue", 900) + "Content-Length: 50000\r\n\r\n"
-                + long1;
-        try (SidecarFixture testbed = new SidecarFixture((m, on) -> {
-            if (m.header("X-Trace-Id").equals("b")) {
-                SERVES.run(m, on);
+                + longBody;
+        try (SidecarFixture testbed = new SidecarFixture((message, connection) -> {
+            if (message.header("X-Trace-Id").equals("b")) {
+                SERVE.run(message, connection);
             }
         })) {
             Socket client = send(testbed, SidecarFixture.issueRequest("a", 900) + next.substring(0, 300));
@@ -142,7 +145,7 @@
             client.getOutputStream()
                     .write(SidecarFixture.issueRequest("b2", 900).getBytes(ISO_8859_1));
             BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-            SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
+            SERVE.run(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(50_000, testbed.upstreams.get(0).next().body().length);
@@ -150,31 +153,31 @@
         }
     }
 
-    /** More lies behind the request than is read ahead; guards against losing a byte at the limit. */
+    /** More bytes follow the request than are read ahead; guards against losing a byte at the limit. */
     @Test
-    void aNextRequestLongerThanWhatIsReadAheadIsComplete() throws Exception {
+    void aPipelinedRequestLongerThanTheReadAheadLimitIsForwardedComplete() throws Exception {
         String body = "x".repeat(400_000);
         String next = SidecarFixture.requestHead("POST /issue/x", "b", "issue", 900) + "Content-Length: 400000\r\n\r\n"
                 + body;
         try (SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT)) {
             Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
             testbed.upstreams.get(0).next();
-            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                 client.getOutputStream().write(next.getBytes(ISO_8859_1));
                 BlockedEventLoop.awaitUnread(client, 50_000);
             }
             BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-            SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
-            testbed.upstreams.get(0).script = SERVES;
+            SERVE.run(null, testbed.upstreams.get(0).accepted.get(0));
+            testbed.upstreams.get(0).script = SERVE;
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(body, new String(testbed.upstreams.get(0).next().body(), ISO_8859_1));
         }
     }
 
-    /** Part of the next request is read ahead when the response comes, the rest comes after it. */
+    /** A part of the next request has been read ahead when the response is sent; the rest arrives after that. */
     @Test
-    void aNextRequestThatWasReadAheadInPartIsReadOnWhenItIsItsTurn() throws Exception {
+    void aPipelinedRequestThatWasReadAheadInPartIsServedOnceTheRestArrives() throws Exception {
         String next = SidecarFixture.issueRequest("b", 900);
         for (boolean isSentTogether : new boolean[] {true, false}) {
             for (int cut : new int[] {1, 40, next.length() - 4, next.length() - 1}) {
@@ -186,9 +189,9 @@
                         client.getOutputStream().write(part.getBytes(ISO_8859_1));
                     }
                     BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-                    SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
+                    SERVE.run(null, testbed.upstreams.get(0).accepted.get(0));
                     assertEquals(200, Message.read(client.getInputStream()).status());
-                    testbed.upstreams.get(0).script = SERVES;
+                    testbed.upstreams.get(0).script = SERVE;
                     client.getOutputStream().write(next.substring(cut).getBytes(ISO_8859_1));
                     assertEquals(200, Message.read(client.getInputStream()).status(), "cut at " + cut);
                     assertEquals("b", testbed.upstreams.get(0).next().header("X-Trace-Id"));
@@ -197,29 +200,29 @@
         }
     }
 
-    /** Guards against garbage, or more than is kept of what was sent ahead, hiding the client's end behind it. */
+    /** Guards against overlooking the client's end after garbage, or after more pipelined bytes than are kept. */
     @ParameterizedTest
     @EnumSource
-    void behindGarbageOrManyRequests(ClientEnd end) throws Exception {
-        for (String behind : List.of(
+    void theEndOfAClientAfterGarbageOrManyPipelinedRequestsIsNoticed(ClientEnd end) throws Exception {
+        for (String following : List.of(
                 "X".repeat(40_000), SidecarFixture.issueRequest("b", 900).repeat(200))) {
-            try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+            try (SidecarFixture testbed = new SidecarFixture(SERVE)) {
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                     String first = SidecarFixture.issueRequest("a", 900);
-                    Socket client = send(testbed, first + behind);
-                    BlockedEventLoop.awaitUnread(client, first.length() + behind.length());
+                    Socket client = send(testbed, first + following);
+                    BlockedEventLoop.awaitUnread(client, first.length() + following.length());
                     leave(client, end);
-                    held.release();
+                    blocked.release();
                 }
                 assertNothingOpen(testbed, 0);
             }
         }
     }
 
-    /** The client floods its connection and leaves as the first attempt fails; guards against a retry for nobody. */
+    /** The client floods its connection and leaves as the first attempt fails; guards against a retry for no client. */
     @ParameterizedTest
     @EnumSource
-    void behindAFloodBeforeARetry(ClientEnd end) throws Exception {
+    void noRetryIsSentForAClientThatFloodedItsConnectionAndLeft(ClientEnd end) throws Exception {
         for (String flood : List.of(
                 "X".repeat(150_000), SidecarFixture.issueRequest("b", 900).repeat(900))) {
             try (SidecarFixture testbed =
@@ -228,30 +231,30 @@
                 while (testbed.receivedCount() == 0) {
                     Thread.onSpinWait();
                 }
-                ScriptedServer at =
+                ScriptedServer attempted =
                         testbed.upstreams.get(testbed.upstreams.get(0).received.isEmpty() ? 1 : 0);
                 client.getOutputStream().write(flood.getBytes(ISO_8859_1));
                 BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                     leave(client, end);
-                    NOT_EXECUTED.run(null, at.accepted.get(0));
-                    BlockedEventLoop.awaitUnread(at.accepted.get(0), 30);
-                    held.release();
+                    NOT_EXECUTED.run(null, attempted.accepted.get(0));
+                    BlockedEventLoop.awaitUnread(attempted.accepted.get(0), 30);
+                    blocked.release();
                 }
                 assertNothingOpen(testbed, 1);
             }
         }
     }
 
-    /** Guards against taking garbage behind a request for the client's end. */
+    /** Guards against taking garbage after a request for the client's end. */
     @Test
-    void garbageBehindARequestDoesNotTakeItsResponse() throws Exception {
+    void aRequestFollowedByGarbageStillGetsItsResponse() throws Exception {
         for (String request : List.of(SidecarFixture.readRequest("a", 900), SidecarFixture.issueRequest("a", 900))) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
                 Socket client = send(testbed, request + "X".repeat(40_000));
                 testbed.upstreams.get(0).next();
                 BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-                SERVES.run(null, testbed.upstreams.get(0).accepted.get(0));
+                SERVE.run(null, testbed.upstreams.get(0).accepted.get(0));
                 assertEquals(200, Message.read(client.getInputStream()).status());
             }
         }
@@ -259,7 +262,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void inTheAdmissionQueue(ClientEnd end) throws Exception {
+    void aQueuedRequestWhoseClientLeftIsNotForwardedAndGivesUpItsSlot(ClientEnd end) throws Exception {
         for (boolean isLeavingFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(
                     1024, "{\"most-inside\": 1, \"wait-share\": 0.9}", SidecarFixture.longDeadlines(), SILENT)) {
@@ -267,22 +270,22 @@
                 testbed.upstreams.get(0).next();
                 Socket second = send(testbed, SidecarFixture.issueRequest("b", 9000));
                 BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
-                    // Both orders into the kernel; both lie there when the loop goes on.
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
+                    // They arrive in either order; both are in the kernel when the loop goes on.
                     if (isLeavingFirst) {
                         leave(second, end);
                     }
                     Socket upstream = testbed.upstreams.get(0).accepted.get(0);
-                    SERVES.run(null, upstream);
+                    SERVE.run(null, upstream);
                     BlockedEventLoop.awaitUnread(upstream, 30);
                     if (!isLeavingFirst) {
                         leave(second, end);
                     }
-                    held.release();
+                    blocked.release();
                 }
                 assertEquals(200, Message.read(first.getInputStream()).status());
                 assertNothingOpen(testbed, 0);
-                testbed.upstreams.get(0).script = SERVES;
+                testbed.upstreams.get(0).script = SERVE;
                 assertEquals(
                         200,
                         testbed.exchange(SidecarFixture.issueRequest("c", 9000)).status(),
@@ -291,39 +294,39 @@
         }
     }
 
-    /** It waits for the endpoint list, which comes in the same turn of the loop as its client's end. */
+    /** The request waits for the endpoint list, which is read in the same iteration of the loop as the client's end. */
     @ParameterizedTest
     @EnumSource
-    void heldByTheLoadBalancer(ClientEnd end) throws Exception {
-        try (ScriptedServer late = new ScriptedServer(SERVES);
+    void aRequestThatWaitsForTheEndpointListIsNotForwardedAfterItsClientLeft(ClientEnd end) throws Exception {
+        try (ScriptedServer late = new ScriptedServer(SERVE);
                 SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines())) {
             testbed.discovery.next();
             Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
             BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
-            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                 Socket discovery = testbed.discovery.accepted.get(0);
                 String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
                         + SidecarFixture.endpointRow("late", late.address(), "SERVING") + "]}";
                 answer("200 OK", list).run(null, discovery);
                 BlockedEventLoop.awaitUnread(discovery, 100);
                 leave(client, end);
-                held.release();
+                blocked.release();
             }
             testbed.discovery.next();
             assertNothingOpen(testbed, 0);
             assertEquals(0, late.received.size());
-            // And nothing of its wait affects others.
+            // Its wait affects no other request.
             assertEquals(
                     200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
         }
     }
 
-    /** The upstream does not accept the connection yet, or does as the client leaves. */
+    /** The upstream has not accepted the connection yet, or accepts it as the client leaves. */
     @ParameterizedTest
     @EnumSource
-    void duringAConnect(ClientEnd end) throws Exception {
-        for (boolean isUp : new boolean[] {false, true}) {
-            List<Socket> full = new ArrayList<>();
+    void nothingIsSentToAnUpstreamForAClientThatLeftDuringTheConnect(ClientEnd end) throws Exception {
+        for (boolean isAccepting : new boolean[] {false, true}) {
+            List<Socket> connections = new ArrayList<>();
             try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                     SidecarFixture testbed = new SidecarFixture(
                             1024,
@@ -331,7 +334,7 @@
                             SidecarFixture.longDeadlines()
                                             .andThen(config -> config.replace(
                                                     "dial-timeout-us\":150000", "dial-timeout-us\":9000000"))::apply)) {
-                fillQueue(slow, full);
+                fillQueue(slow, connections);
                 testbed.discovery.next();
                 String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
                         + SidecarFixture.endpointRow("slow", "127.0.0.1:" + slow.getLocalPort(), "SERVING") + "]}";
@@ -339,141 +342,144 @@
                 testbed.discovery.next();
                 Socket client = send(testbed, SidecarFixture.issueRequest("a", 9000));
                 awaitConnections(testbed, 1);
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
-                    if (isUp) {
-                        // The kernel tries again after a second, and now the queue has space.
-                        int before = full.size();
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
+                    if (isAccepting) {
+                        // The kernel tries to connect again after a second; the queue has space by then.
+                        int queued = connections.size();
                         slow.setSoTimeout(5000);
-                        for (int i = 0; i <= before; i++) {
-                            full.add(slow.accept());
+                        for (int i = 0; i <= queued; i++) {
+                            connections.add(slow.accept());
                         }
                     }
                     leave(client, end);
-                    held.release();
+                    blocked.release();
                 }
                 assertNothingOpen(testbed, 0);
-                if (isUp) {
-                    Socket up = full.get(full.size() - 1);
-                    up.setSoTimeout(300);
-                    assertEquals(0, up.getInputStream().available(), "bytes were sent for nobody");
+                if (isAccepting) {
+                    Socket accepted = connections.get(connections.size() - 1);
+                    accepted.setSoTimeout(300);
+                    assertEquals(0, accepted.getInputStream().available(), "bytes were sent for a client that left");
                 }
-                awaitConnections(testbed, isUp ? 1 : 0);
+                awaitConnections(testbed, isAccepting ? 1 : 0);
             } finally {
-                for (Socket each : full) {
-                    each.close();
+                for (Socket connection : connections) {
+                    connection.close();
                 }
             }
         }
     }
 
-    /** Opens so many connections that the kernel accepts no more of them. */
+    /** Opens as many connections as fill the listen queue, so that the kernel accepts no more of them. */
     private static void fillQueue(ServerSocket listener, List<Socket> connections) throws Exception {
         for (int i = 0; i < 2; i++) {
             connections.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
     }
 
+    /** Waits until so many connections to upstreams are open, including those being opened; fails after 5 s. */
     private static void awaitConnections(SidecarFixture testbed, int expected) throws Exception {
         AtomicInteger open = new AtomicInteger(-1);
-        long end = System.nanoTime() + 5_000_000_000L;
+        long deadlineNanos = System.nanoTime() + 5_000_000_000L;
         while (open.get() != expected) {
             BlockedEventLoop.runOn(testbed.sidecar.loop, () -> open.set(testbed.sidecar.upstreamConnector.openCount()));
-            assertTrue(System.nanoTime() < end, open + " connections are open, not " + expected);
+            assertTrue(System.nanoTime() < deadlineNanos, open + " connections are open, not " + expected);
         }
     }
 
-    /** The hedged request is due, and the client's end has come. */
+    /** The hedged request is due when the client's end has arrived. */
     @ParameterizedTest
     @EnumSource
-    void beforeAHedgedRequest(ClientEnd end) throws Exception {
+    void noHedgedRequestIsSentAfterTheClientLeft(ClientEnd end) throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(1024, "{}", SidecarFixture.longDeadlines(), SILENT, SILENT)) {
             Socket client = send(testbed, SidecarFixture.readRequest("a", 5000));
             while (testbed.receivedCount() == 0) {
                 Thread.onSpinWait();
             }
             long sent = System.nanoTime();
-            try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                 leave(client, end);
                 // Past the second after which the hedged request is due; well short of the deadline.
                 while (System.nanoTime() - sent < 1_200_000_000L) {
                     Thread.onSpinWait();
                 }
-                held.release();
+                blocked.release();
             }
             assertNothingOpen(testbed, 1);
         }
     }
 
-    /** The first attempt was not executed; its response and the client's end are read in one turn of the loop. */
+    /** The first attempt was not executed; its response and the client's end are read in one iteration of the loop. */
     @ParameterizedTest
     @EnumSource
-    void beforeARetry(ClientEnd end) throws Exception {
+    void noRetryIsSentAfterTheClientLeft(ClientEnd end) throws Exception {
         for (boolean isLeavingFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT, SILENT)) {
                 Socket client = send(testbed, SidecarFixture.issueRequest("a", 900));
                 while (testbed.receivedCount() == 0) {
                     Thread.onSpinWait();
                 }
-                ScriptedServer at =
+                ScriptedServer attempted =
                         testbed.upstreams.get(testbed.upstreams.get(0).received.isEmpty() ? 1 : 0);
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                     if (isLeavingFirst) {
                         leave(client, end);
                     }
-                    NOT_EXECUTED.run(null, at.accepted.get(0));
-                    BlockedEventLoop.awaitUnread(at.accepted.get(0), 30);
+                    NOT_EXECUTED.run(null, attempted.accepted.get(0));
+                    BlockedEventLoop.awaitUnread(attempted.accepted.get(0), 30);
                     if (!isLeavingFirst) {
                         leave(client, end);
                     }
-                    held.release();
+                    blocked.release();
                 }
                 assertNothingOpen(testbed, 1);
             }
         }
     }
 
-    /** A long body lies complete in the kernel, and its client's end behind it: the upstream must not get all of it. */
+    /** A complete long body and its client's end are in the kernel: the upstream must not receive all of the body. */
     @ParameterizedTest
     @EnumSource
-    void behindALongBody(ClientEnd end) throws Exception {
-        String bytes = "y".repeat(100_000);
+    void aLongBodyIsNotForwardedCompleteAfterItsClientLeft(ClientEnd end) throws Exception {
+        String body = "y".repeat(100_000);
         String head = SidecarFixture.requestHead("POST /issue/x", "a", "issue", 900);
         List<String> requests = List.of(
-                head + "Content-Length: 100000\r\n\r\n" + bytes,
-                head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + bytes + "\r\n0\r\n\r\n");
+                head + "Content-Length: 100000\r\n\r\n" + body,
+                head + "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + body + "\r\n0\r\n\r\n");
         for (String request : requests) {
-            BlockingQueue<String> came = new LinkedBlockingQueue<>();
-            // Of a chunked body the server has read the head alone when its script begins.
-            Script reads = (m, on) -> came.add(new String(
-                    m.header("Content-Length") != null
-                            ? m.body()
-                            : on.getInputStream().readAllBytes(),
+            BlockingQueue<String> forwardedBodies = new LinkedBlockingQueue<>();
+            // The server reads only the head of a request with a chunked body before it runs its script.
+            Script recordBody = (message, connection) -> forwardedBodies.add(new String(
+                    message.header("Content-Length") != null
+                            ? message.body()
+                            : connection.getInputStream().readAllBytes(),
                     ISO_8859_1));
-            try (SidecarFixture testbed = new SidecarFixture(reads)) {
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+            try (SidecarFixture testbed = new SidecarFixture(recordBody)) {
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                     Socket client = send(testbed, request);
                     BlockedEventLoop.awaitUnread(client, request.length());
                     leave(client, end);
-                    held.release();
+                    blocked.release();
                 }
                 assertNothingOpen(testbed);
-                String all = came.poll(1, TimeUnit.SECONDS);
+                String forwarded = forwardedBodies.poll(1, TimeUnit.SECONDS);
                 assertTrue(
-                        all == null || all.length() < 100_000 || !all.endsWith("0\r\n\r\n") && all.length() != 100_000,
+                        forwarded == null
+                                || forwarded.length() < 100_000
+                                || !forwarded.endsWith("0\r\n\r\n") && forwarded.length() != 100_000,
                         "a complete body was forwarded");
             }
         }
     }
 
-    /** In the middle of a body, short or long. */
+    /** The client leaves in the middle of a body, short or long. */
     @ParameterizedTest
     @EnumSource
-    void withHalfABody(ClientEnd end) throws Exception {
+    void anIncompleteBodyIsNotForwardedAsACompleteOne(ClientEnd end) throws Exception {
         for (int length : new int[] {20_000, 200_000}) {
-            try (SidecarFixture testbed = new SidecarFixture(SERVES)) {
-                String half = SidecarFixture.requestHead("POST /issue/x", "a", "issue", 900) + "Content-Length: "
+            try (SidecarFixture testbed = new SidecarFixture(SERVE)) {
+                String incomplete = SidecarFixture.requestHead("POST /issue/x", "a", "issue", 900) + "Content-Length: "
                         + length + "\r\n\r\n" + "y".repeat(length / 2);
-                Socket client = send(testbed, half);
+                Socket client = send(testbed, incomplete);
                 BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
                 leave(client, end);
                 assertNothingOpen(testbed);
@@ -483,40 +489,44 @@
         }
     }
 
-    /** Guards against the request that was left rejecting or ending its retry, in whatever order they are read. */
+    /**
+     * Guards against a request whose client left rejecting or ending the client's retry under the same id, in whichever
+     * order the end and the retry are read.
+     */
     @ParameterizedTest
     @EnumSource
-    void aRetryUnderTheSameIdIsServed(ClientEnd end) throws Exception {
+    void aRetryUnderTheIdOfARequestWhoseClientLeftIsServed(ClientEnd end) throws Exception {
         for (boolean isRetryFirst : new boolean[] {true, false}) {
             try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
                 ScriptedServer upstream = testbed.upstreams.get(0);
-                Socket left = send(testbed, SidecarFixture.issueRequest("same", 900));
+                Socket leaving = send(testbed, SidecarFixture.issueRequest("same", 900));
                 upstream.next();
-                upstream.script = SERVES;
-                Socket next;
-                try (BlockedEventLoop held = new BlockedEventLoop(testbed.sidecar.loop)) {
+                upstream.script = SERVE;
+                Socket retrying;
+                try (BlockedEventLoop blocked = new BlockedEventLoop(testbed.sidecar.loop)) {
                     if (!isRetryFirst) {
-                        leave(left, end);
+                        leave(leaving, end);
                     }
-                    next = send(testbed, SidecarFixture.issueRequest("same", 900));
+                    retrying = send(testbed, SidecarFixture.issueRequest("same", 900));
                     BlockedEventLoop.awaitUnread(
-                            next, SidecarFixture.issueRequest("same", 900).length());
+                            retrying, SidecarFixture.issueRequest("same", 900).length());
                     if (isRetryFirst) {
-                        leave(left, end);
+                        leave(leaving, end);
                     }
-                    held.release();
+                    blocked.release();
                 }
-                assertEquals(200, Message.read(next.getInputStream()).status());
+                assertEquals(200, Message.read(retrying.getInputStream()).status());
                 assertNothingOpen(testbed, 1);
             }
         }
     }
 
     /**
-     * Without cancellation, an attempt for nobody ends with its deadline; guards against a connection held for ever.
+     * Without cancellation, an attempt whose client left ends at its deadline; guards against a connection that is
+     * never released.
      */
     @Test
-    void whereNothingMayBeCancelledItEndsWithItsDeadline() throws Exception {
+    void withoutCancellationAnAttemptWhoseClientLeftEndsAtItsDeadline() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(
                 1024, "{}", config -> config.replace("\"cancel\":true", "\"cancel\":false"), SILENT)) {
             Socket client = send(testbed, SidecarFixture.issueRequest("a", 500));
--- a/daemon/src/test/java/portrelay/net/DescriptorsTest.java
+++ b/daemon/src/test/java/portrelay/net/DescriptorsTest.java
@@ -25,38 +25,40 @@
 import portrelay.net.SidecarFixture.ScriptedServer;
 
 /**
- * A process at the operating system's limit on descriptors, full of clients that only connect, while discovery is down.
- * Guards against descriptors that the sidecar needs for itself being lent to clients.
+ * Tests a process at the operating system's limit on descriptors while discovery is down.
+ *
+ * <p>Clients that connect and send nothing take every descriptor they can get. Guards against giving them those that
+ * the sidecar needs for discovery, operator calls and upstreams.
  */
 @Timeout(120)
 class DescriptorsTest {
 
-    private static final int LIMIT = 192;
-    private static final int CLIENTS = 300;
+    private static final int DESCRIPTOR_LIMIT = 192;
+    private static final int IDLE_CLIENTS = 300;
 
     @TempDir
     Path dir;
 
-    /** Keeps so many silent connections open, or trying to open; one that is closed is opened again. */
+    /** Keeps {@link #IDLE_CLIENTS} silent connections open or attempted; replaces each one that is closed. */
     private static final class IdleClients implements AutoCloseable {
         private final List<Socket> all = new CopyOnWriteArrayList<>();
-        private final AtomicInteger closed = new AtomicInteger();
+        private final AtomicInteger closedCount = new AtomicInteger();
         private final Thread thread;
-        private volatile boolean isOver;
+        private volatile boolean isStopped;
 
         IdleClients(int port) {
             thread = new Thread(() -> {
-                while (!isOver) {
+                while (!isStopped) {
                     try {
-                        if (all.size() < CLIENTS) {
-                            Socket one = new Socket(InetAddress.getLoopbackAddress(), port);
-                            one.setSoTimeout(1);
-                            all.add(one);
+                        if (all.size() < IDLE_CLIENTS) {
+                            Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
+                            client.setSoTimeout(1);
+                            all.add(client);
                         } else {
                             all.removeIf(this::isClosed);
                         }
                     } catch (IOException e) {
-                        closed.incrementAndGet();
+                        closedCount.incrementAndGet();
                     }
                 }
             });
@@ -64,76 +66,79 @@
             thread.start();
         }
 
-        private boolean isClosed(Socket one) {
+        private boolean isClosed(Socket client) {
             try {
-                if (one.getInputStream().read() >= 0) {
+                if (client.getInputStream().read() >= 0) {
                     return false;
                 }
             } catch (SocketTimeoutException e) {
                 return false;
             } catch (IOException e) {
-                // Reset: closed as well.
+                // A reset is a close as well.
             }
-            closed.incrementAndGet();
+            closedCount.incrementAndGet();
             return true;
         }
 
         @Override
         public void close() throws Exception {
-            isOver = true;
+            isStopped = true;
             thread.join();
-            for (Socket each : all) {
-                each.close();
+            for (Socket client : all) {
+                client.close();
             }
         }
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return one.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
-    private static Message ask(int port, String bytes) throws IOException {
-        try (Socket one = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            one.setSoTimeout(10_000);
-            one.getOutputStream().write(bytes.getBytes(ISO_8859_1));
-            return Message.read(one.getInputStream());
+    private static Message exchange(int port, String bytes) throws IOException {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            client.setSoTimeout(10_000);
+            client.getOutputStream().write(bytes.getBytes(ISO_8859_1));
+            return Message.read(client.getInputStream());
         }
     }
 
-    /** New connections may be closed unread meanwhile: then the client sends its request on another one. */
-    private static int served(int port, String name) throws Exception {
+    /**
+     * Returns 200 once a request is served, or 0 after 50 tries. The sidecar may close new connections unread; the
+     * client then sends its request on another one.
+     */
+    private static int serveStatus(int port, String name) throws Exception {
         for (int i = 0; i < 50; i++) {
             try {
-                Message got = ask(port, SidecarFixture.readRequest(name + i, 900));
-                if (got != null && got.status() == 200) {
+                Message response = exchange(port, SidecarFixture.readRequest(name + i, 900));
+                if (response != null && response.status() == 200) {
                     return 200;
                 }
             } catch (IOException e) {
-                // Closed unread.
+                // Closed unread: tries again.
             }
             Thread.sleep(50);
         }
         return 0;
     }
 
-    private static void untilReady(int port) throws Exception {
+    private static void awaitReady(int port) throws Exception {
         for (int i = 0; i < 600; i++) {
             try {
-                if (ask(port, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200) {
+                if (exchange(port, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200) {
                     return;
                 }
             } catch (IOException | NullPointerException e) {
-                // Not yet.
+                // Not ready yet.
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("never ready");
+        throw new AssertionError("the sidecar does not get ready");
     }
 
     @Test
-    void whenDiscoveryIsBackItAndOperatorsAndUpstreamsGetADescriptor() throws Exception {
+    void atTheDescriptorLimitDiscoveryOperatorCallsAndUpstreamsStillGetADescriptor() throws Exception {
         int port = freePort();
         int adminPort = freePort();
         List<AutoCloseable> open = new ArrayList<>();
@@ -145,15 +150,15 @@
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file,
-                SidecarFixture.config(discovery.address(), list, LIMIT)
+                SidecarFixture.config(discovery.address(), list, DESCRIPTOR_LIMIT)
                         .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"")
                         .replace("\"mgmt\":\"127.0.0.1:0\"", "\"mgmt\":\"127.0.0.1:" + adminPort + "\""));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Path log = dir.resolve("log");
-        Process serve = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         "sh",
                         "-c",
-                        "ulimit -n " + LIMIT + "; exec \"$@\"",
+                        "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$@\"",
                         "sh",
                         java,
                         "-XX:TieredStopAtLevel=1",
@@ -167,36 +172,36 @@
                 .redirectOutput(log.toFile())
                 .start();
         try {
-            untilReady(port);
+            awaitReady(port);
             discovery.next();
             IdleClients clients = new IdleClients(port);
             open.add(clients);
-            while (clients.all.size() < CLIENTS || clients.closed.get() < CLIENTS) {
+            while (clients.all.size() < IDLE_CLIENTS || clients.closedCount.get() < IDLE_CLIENTS) {
                 Thread.sleep(10);
             }
-            int at = discovery.serverSocket.getLocalPort();
+            int discoveryPort = discovery.serverSocket.getLocalPort();
             discovery.close();
-            // Some seconds, in which it polls in vain and clients take whatever descriptor is given back.
+            // Some seconds in which polls of discovery fail and the clients take each descriptor that is released.
             Thread.sleep(3000);
-            assertEquals(200, served(port, "away"), Files.readString(log));
-            String next = "{\"seq\":9,\"whole\":true,\"hosts\":["
+            assertEquals(200, serveStatus(port, "away"), Files.readString(log));
+            String nextList = "{\"seq\":9,\"whole\":true,\"hosts\":["
                     + SidecarFixture.endpointRow("s-1", second.address(), "SERVING") + "]}";
-            ScriptedServer back = new ScriptedServer(SILENT, at);
-            open.add(back);
-            Message arrival = back.next();
-            assertTrue(arrival.startLine().contains("/discovery/hosts"), arrival.startLine());
-            answer("200 OK", next).run(null, back.accepted.get(back.accepted.size() - 1));
-            assertTrue(back.next().startLine().contains("index=9"), "the change was not read");
-            // A connect to an upstream that had no connection, and an operator's call.
-            assertEquals(200, served(port, "back"), Files.readString(log));
-            assertTrue(second.received.size() > 0, "not sent to the one of the new list");
-            Message called = ask(adminPort, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertEquals(200, called.status());
-            assertTrue(serve.isAlive(), Files.readString(log));
+            ScriptedServer restarted = new ScriptedServer(SILENT, discoveryPort);
+            open.add(restarted);
+            Message poll = restarted.next();
+            assertTrue(poll.startLine().contains("/discovery/hosts"), poll.startLine());
+            answer("200 OK", nextList).run(null, restarted.accepted.get(restarted.accepted.size() - 1));
+            assertTrue(restarted.next().startLine().contains("index=9"), "the new endpoint list was not read");
+            // A connect to an upstream without a connection so far, and an operator call.
+            assertEquals(200, serveStatus(port, "back"), Files.readString(log));
+            assertTrue(second.received.size() > 0, "the request was not sent to the upstream of the new list");
+            Message response = exchange(adminPort, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+            assertEquals(200, response.status());
+            assertTrue(process.isAlive(), Files.readString(log));
         } finally {
-            serve.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-            for (AutoCloseable each : open) {
-                each.close();
+            process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+            for (AutoCloseable resource : open) {
+                resource.close();
             }
             first.close();
             second.close();
--- a/daemon/src/test/java/portrelay/net/LateRequestsNetTest.java
+++ b/daemon/src/test/java/portrelay/net/LateRequestsNetTest.java
@@ -23,20 +23,22 @@
 import portrelay.net.lifecycle.SidecarConfig;
 
 /**
- * Requests that a shutdown reads too late to forward them: each complete one is rejected unsent and its connection ends
- * with the last. The longest deadline is 1 s, so that nothing is forwarded from 0.9 s after the signal on.
+ * Tests requests that a shutdown reads too late to forward them.
+ *
+ * <p>Each complete one is rejected without an attempt, and its connection is closed after the last one. The longest
+ * deadline is 1 s, so that nothing is forwarded from 0.9 s after the signal on.
  */
 @Timeout(40)
 class LateRequestsNetTest {
 
-    /** Seconds since the signal at which nothing is forwarded, and idle connections are still open. */
-    private static final double TOO_LATE = 1;
-    /** More than a hold explains, which may last 0.15 s. */
+    /** A time since the signal at which nothing is forwarded any more while idle connections are still open. */
+    private static final double TOO_LATE_SECONDS = 1;
+    /** Longer than a pause of the process may be, 0.15 s: a loop that is later than this is overloaded. */
     private static final double OVERLOAD_SECONDS = 0.3;
 
-    private static final int CROWD = 60;
+    private static final int CLIENT_COUNT = 60;
     private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-    private static final String WHOLE_REJECTION =
+    private static final String REJECTION =
             "HTTP/1.1 429 Too Many Requests\r\nConnection: close\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n";
 
     private final List<Socket> clients = new ArrayList<>();
@@ -57,8 +59,8 @@
 
     @AfterEach
     void stop() throws Exception {
-        for (Socket each : clients) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
         sidecar.close();
         upstream.close();
@@ -74,15 +76,17 @@
         return client;
     }
 
-    /** Writes the bytes and returns once they lie unread at the sidecar. */
+    /** Writes the bytes and returns once they are unread at the sidecar. */
     private static void write(Socket client, String bytes) throws Exception {
         client.getOutputStream().write(bytes.getBytes(ISO_8859_1));
         BlockedEventLoop.awaitUnread(client, bytes.length());
     }
 
-    /** Shuts down for a signal of so many seconds ago; returns once the loop has been told. */
-    private void drain(double ago) {
-        long signalledAt = System.nanoTime() - (long) (ago * 1e9);
+    /**
+     * Starts the shutdown for a signal of so many seconds ago; returns once its task is in the event loop's mailbox.
+     */
+    private void drain(double secondsSinceSignal) {
+        long signalledAt = System.nanoTime() - (long) (secondsSinceSignal * 1e9);
         Thread drain = new Thread(() -> sidecar.drain(signalledAt));
         drain.setDaemon(true);
         drain.start();
@@ -91,70 +95,71 @@
         }
     }
 
-    private static String all(Socket client) throws Exception {
+    /** Returns all bytes until the connection ends. */
+    private static String readAll(Socket client) throws Exception {
         return new String(client.getInputStream().readAllBytes(), ISO_8859_1);
     }
 
-    private static Message answer(Socket client) throws Exception {
-        Message answer = Message.read(client.getInputStream());
-        assertNotNull(answer, "lost");
-        return answer;
+    private static Message readResponse(Socket client) throws Exception {
+        Message response = Message.read(client.getInputStream());
+        assertNotNull(response, "the connection ended without a response");
+        return response;
     }
 
     private void assertNothingForwarded() {
-        assertEquals(0, upstream.received.size(), "forwarded");
+        assertEquals(0, upstream.received.size(), "requests were forwarded");
     }
 
     @Test
-    void aCrowdInTheListenQueueIsRejectedUnsent() throws Exception {
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
-            for (int i = 0; i < CROWD; i++) {
+    void lateRequestsInTheListenQueueAreRejectedUnsent() throws Exception {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
+            for (int i = 0; i < CLIENT_COUNT; i++) {
                 write(connect(), SidecarFixture.issueRequest("a" + i, 900));
             }
-            drain(TOO_LATE);
-            held.release();
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
-        for (Socket each : clients) {
-            assertEquals(WHOLE_REJECTION, all(each));
+        for (Socket client : clients) {
+            assertEquals(REJECTION, readAll(client));
         }
         assertNothingForwarded();
     }
 
-    /** On connections that Undertow reads, unlike those in the listen queue. */
+    /** Undertow reads these connections, unlike those in the listen queue. */
     @Test
-    void requestsOnIdleConnectionsAreRejectedUnsent() throws Exception {
-        for (int i = 0; i < CROWD; i++) {
+    void lateRequestsOnIdleConnectionsAreRejectedUnsent() throws Exception {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             Socket client = connect();
             client.getOutputStream().write(READINESS_REQUEST.getBytes(ISO_8859_1));
-            assertEquals(200, answer(client).status());
+            assertEquals(200, readResponse(client).status());
         }
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
-            for (int i = 0; i < CROWD; i++) {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
+            for (int i = 0; i < CLIENT_COUNT; i++) {
                 write(clients.get(i), SidecarFixture.issueRequest("a" + i, 900));
             }
-            drain(TOO_LATE);
-            held.release();
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
-        for (Socket each : clients) {
-            assertEquals(WHOLE_REJECTION, all(each));
+        for (Socket client : clients) {
+            assertEquals(REJECTION, readAll(client));
         }
         assertNothingForwarded();
     }
 
     @Test
-    void requestsInOneWriteAreAllRejected() throws Exception {
+    void lateRequestsInOneWriteAreAllRejected() throws Exception {
         Socket client = connect();
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
             write(
                     client,
                     SidecarFixture.issueRequest("a", 900)
                             + SidecarFixture.readRequest("b", 900)
                             + SidecarFixture.issueRequest("c", 900));
-            drain(TOO_LATE);
-            held.release();
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
         for (String connection : new String[] {null, null, "close"}) {
-            Message rejected = answer(client);
+            Message rejected = readResponse(client);
             assertEquals(429, rejected.status());
             assertEquals(connection, rejected.header("Connection"));
         }
@@ -162,84 +167,87 @@
         assertNothingForwarded();
     }
 
-    /** Guards against a connection that ends with a request half read, whose rest was on its way. */
+    /** Guards against closing a connection after half a request whose rest is on its way. */
     @Test
-    void aRequestThatHasBegunIsRejectedOnceItIsComplete() throws Exception {
+    void anIncompleteLateRequestIsRejectedOnceItIsComplete() throws Exception {
         Socket client = connect();
         String second = SidecarFixture.readRequest("b", 900);
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
             write(client, SidecarFixture.issueRequest("a", 900) + second.substring(0, 30));
-            drain(TOO_LATE);
-            held.release();
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
-        Message rejected = answer(client);
+        Message rejected = readResponse(client);
         assertEquals(429, rejected.status());
         assertNull(rejected.header("Connection"));
         client.getOutputStream().write(second.substring(30).getBytes(ISO_8859_1));
-        assertEquals(WHOLE_REJECTION, all(client));
+        assertEquals(REJECTION, readAll(client));
         assertNothingForwarded();
     }
 
-    /** Its sender may wait for word before it sends the body, or read nothing before it has sent all of it. */
+    /** The client may wait for a response before it sends the body, or read nothing until it has sent all of it. */
     @Test
-    void aLongBodyIsRejectedAtItsHeadAndReadToItsEnd() throws Exception {
-        Socket waits = connect();
-        Socket sends = connect();
+    void aLateRequestWithALongBodyIsRejectedAtItsHeadAndReadToItsEnd() throws Exception {
+        Socket waiting = connect();
+        Socket sending = connect();
         String head =
                 "POST /issue/x HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: issue\r\nContent-Length: 2000000\r\n";
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
-            write(waits, head + "Expect: 100-continue\r\n\r\n");
-            write(sends, head + "\r\n");
-            drain(TOO_LATE);
-            held.release();
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
+            write(waiting, head + "Expect: 100-continue\r\n\r\n");
+            write(sending, head + "\r\n");
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
-        assertEquals(429, answer(waits).status());
-        sends.getOutputStream().write(new byte[2_000_000]);
-        assertEquals(WHOLE_REJECTION, all(sends));
+        assertEquals(429, readResponse(waiting).status());
+        sending.getOutputStream().write(new byte[2_000_000]);
+        assertEquals(REJECTION, readAll(sending));
         assertNothingForwarded();
     }
 
     @Test
-    void readinessAndMalformedRequestsAreAnsweredAsSuch() throws Exception {
+    void lateReadinessAndMalformedRequestsGetTheirUsualResponses() throws Exception {
         Socket readiness = connect();
         Socket malformed = connect();
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
             write(readiness, READINESS_REQUEST);
             write(
                     malformed,
                     SidecarFixture.issueRequest("a", 900)
                             + "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n");
-            drain(TOO_LATE);
-            held.release();
+            drain(TOO_LATE_SECONDS);
+            blocked.release();
         }
-        assertEquals(503, answer(readiness).status());
-        assertEquals(429, answer(malformed).status());
-        Message last = answer(malformed);
+        assertEquals(503, readResponse(readiness).status());
+        assertEquals(429, readResponse(malformed).status());
+        Message last = readResponse(malformed);
         assertTrue(last.status() == 400 || last.status() == 429, "status " + last.status());
         assertEquals("close", last.header("Connection"));
         assertNothingForwarded();
     }
 
-    /** Guards against forwarding, at many times the cost of a rejection, while the rest can't be read by the kill. */
+    /**
+     * Forwarding costs many times what a rejection costs. Guards against forwarding while the rest of the requests
+     * can't be read before the process is killed.
+     */
     @Test
-    void aLoopThatIsLaterThanAHoldForwardsNothingMoreInAShutdown() throws Exception {
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
+    void anOverloadedEventLoopForwardsNothingMoreInAShutdown() throws Exception {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
             drain(0);
-            held.release();
+            blocked.release();
         }
         BlockedEventLoop.awaitPolls(sidecar.loop);
-        try (BlockedEventLoop held = new BlockedEventLoop(sidecar.loop)) {
-            for (int i = 0; i < CROWD; i++) {
+        try (BlockedEventLoop blocked = new BlockedEventLoop(sidecar.loop)) {
+            for (int i = 0; i < CLIENT_COUNT; i++) {
                 write(connect(), SidecarFixture.issueRequest("a" + i, 900));
             }
-            double until = sidecar.loop.now() + OVERLOAD_SECONDS;
-            while (sidecar.loop.now() < until) {
+            double end = sidecar.loop.now() + OVERLOAD_SECONDS;
+            while (sidecar.loop.now() < end) {
                 Thread.onSpinWait();
             }
-            held.release();
+            blocked.release();
         }
-        for (Socket each : clients) {
-            assertEquals(WHOLE_REJECTION, all(each));
+        for (Socket client : clients) {
+            assertEquals(REJECTION, readAll(client));
         }
         assertNothingForwarded();
     }
--- a/daemon/src/test/java/portrelay/net/NetTest.java
+++ b/daemon/src/test/java/portrelay/net/NetTest.java
@@ -34,7 +34,9 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** A sidecar between scripted servers on loopback: the protocol on the wire, its edge cases, and failures found. */
+/**
+ * Tests a sidecar between scripted servers on loopback: HTTP on the wire, its edge cases, and failures found before.
+ */
 @Timeout(20)
 class NetTest {
 
@@ -45,7 +47,7 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK\r\nX-Made-By: u", "yes"))) {
             String line = "POST /save/a%2Fb//c;d=1/../%7e?x=%20y&&z=+&?";
             String body = "\u0000\u00ff\r\n\r\nGET";
-            Message got = testbed.exchange(SidecarFixture.requestHead(line, "id-1", "save", 900)
+            Message response = testbed.exchange(SidecarFixture.requestHead(line, "id-1", "save", 900)
                     + "Idempotency-Key: K/=~\r\nX-Other: o\r\nConnection: X-Hop\r\nX-Hop: h\r\n"
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body);
             Message sent = testbed.upstreams.get(0).next();
@@ -57,15 +59,15 @@
             assertNull(sent.header("X-Hop"));
             int left = Integer.parseInt(sent.header("X-Expires-In-Ms"));
             assertTrue(left > 0 && left < 900, "left " + left);
-            assertEquals(200, got.status());
-            assertEquals("yes", new String(got.body(), ISO_8859_1));
-            assertEquals("u", got.header("X-Made-By"));
+            assertEquals(200, response.status());
+            assertEquals("yes", new String(response.body(), ISO_8859_1));
+            assertEquals("u", response.header("X-Made-By"));
         }
     }
 
     @Test
-    void aResponseMayBeEmptyChunkedOrLongerThanTheProtocolSays() throws Exception {
-        String longest = "x".repeat(400_000);
+    void emptyChunkedAndLongResponsesAreForwardedOnOneUpstreamConnection() throws Exception {
+        String longBody = "x".repeat(400_000);
         String chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", ""))) {
             Socket client = testbed.connect();
@@ -76,7 +78,8 @@
                             .length);
             // A connection is not reused within 10 ms.
             Thread.sleep(20);
-            testbed.upstreams.get(0).script = (m, on) -> on.getOutputStream().write(chunked.getBytes(ISO_8859_1));
+            testbed.upstreams.get(0).script =
+                    (message, connection) -> connection.getOutputStream().write(chunked.getBytes(ISO_8859_1));
             assertEquals(
                     "abc",
                     new String(
@@ -84,7 +87,7 @@
                                     .body(),
                             ISO_8859_1));
             Thread.sleep(20);
-            testbed.upstreams.get(0).script = answer("200 OK", longest);
+            testbed.upstreams.get(0).script = answer("200 OK", longBody);
             assertEquals(
                     400_000,
                     SidecarFixture.exchange(client, SidecarFixture.readRequest("c", 900))
@@ -97,7 +100,7 @@
     // ---- Outcomes ---------------------------------------------------------------------------------------
 
     @Test
-    void whatWasNotExecutedIsRetriedElsewhereEvenWhereItMustNotRunTwice() throws Exception {
+    void anAttemptProvablyNotExecutedIsRetriedOnAnotherUpstreamEvenIfTheRequestIsUnsafe() throws Exception {
         for (String proof : List.of("503 Busy\r\nX-Never-Ran: 1", "504 Late\r\nX-Never-Ran: 1")) {
             try (SidecarFixture testbed = new SidecarFixture(answer(proof, ""), answer(proof, ""))) {
                 assertEquals(
@@ -118,7 +121,7 @@
     }
 
     @Test
-    void whatMayHaveRunFailsANonIdempotentRequest() throws Exception {
+    void anAttemptThatMayHaveRunFailsAnUnsafeRequestWithoutARetry() throws Exception {
         List<Script> maybeExecuted = List.of(
                 RESET,
                 answer("500 No", ""),
@@ -132,17 +135,17 @@
                 sendBytesAndClose("HTTP/1.1 200 OK\r\nContent-Length: z\r\n\r\n"),
                 sendBytesAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
                 sendBytesAndClose(""));
-        for (Script each : maybeExecuted) {
-            try (SidecarFixture testbed = new SidecarFixture(each, each)) {
-                Message got = testbed.exchange(SidecarFixture.issueRequest("a", 900));
-                assertEquals(502, got.status(), "case " + maybeExecuted.indexOf(each));
-                assertEquals(1, testbed.receivedCount(), "case " + maybeExecuted.indexOf(each));
+        for (Script script : maybeExecuted) {
+            try (SidecarFixture testbed = new SidecarFixture(script, script)) {
+                Message response = testbed.exchange(SidecarFixture.issueRequest("a", 900));
+                assertEquals(502, response.status(), "case " + maybeExecuted.indexOf(script));
+                assertEquals(1, testbed.receivedCount(), "case " + maybeExecuted.indexOf(script));
             }
         }
     }
 
     @Test
-    void aMalformedResponseOnAConnectionThatStaysOpenCountsAtOnceAsOneThatMayHaveRun() throws Exception {
+    void aMalformedResponseOnAConnectionThatStaysOpenFailsAnUnsafeRequestAtOnce() throws Exception {
         String ok = "HTTP/1.1 200 OK\r\n";
         List<String> malformed = List.of(
                 "\u0001\u00fe noise",
@@ -158,57 +161,57 @@
                 "HTTP/1.1 101 Up\r\n\r\n",
                 ok + "\r\n",
                 "HTTP/1.1 102 On\r\n\r\n".repeat(3000));
-        for (String each : malformed) {
-            try (SidecarFixture testbed = new SidecarFixture(sendBytes(each), sendBytes(each))) {
+        for (String response : malformed) {
+            try (SidecarFixture testbed = new SidecarFixture(sendBytes(response), sendBytes(response))) {
                 long start = System.nanoTime();
-                String what = each.substring(0, Math.min(60, each.length()));
+                String beginning = response.substring(0, Math.min(60, response.length()));
                 assertEquals(
                         502,
                         testbed.exchange(SidecarFixture.issueRequest("a", 900)).status(),
-                        what);
-                assertTrue(System.nanoTime() - start < 0.5e9, "late for " + what);
-                assertEquals(1, testbed.receivedCount(), what);
+                        beginning);
+                assertTrue(System.nanoTime() - start < 0.5e9, "failed late after " + beginning);
+                assertEquals(1, testbed.receivedCount(), beginning);
             }
         }
     }
 
     @Test
-    void bytesBesidesAGoodResponseSpoilNeitherItNorTheNext() throws Exception {
+    void extraBytesAroundAResponseCorruptNeitherItNorTheNextOne() throws Exception {
         String good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nme";
         String chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nme\r\n0\r\n\r\n";
         String other = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother";
-        List<String> besides = List.of(
+        List<String> withExtraBytes = List.of(
                 good + other,
                 chunked + other,
                 good + "noise",
                 chunked + "\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + good,
                 good.replace("Content-Length", "Endpoint-Load-Metrics: \u0000\u0001{\u00ff=;;\r\nContent-Length"));
-        for (String each : besides) {
-            try (SidecarFixture testbed = new SidecarFixture(sendBytes(each))) {
+        for (String bytes : withExtraBytes) {
+            try (SidecarFixture testbed = new SidecarFixture(sendBytes(bytes))) {
                 for (int i = 0; i < 5; i++) {
-                    Message got = testbed.exchange(SidecarFixture.issueRequest("q" + i, 900));
-                    assertEquals(200, got.status(), each);
-                    assertEquals("me", new String(got.body(), ISO_8859_1), each);
+                    Message response = testbed.exchange(SidecarFixture.issueRequest("q" + i, 900));
+                    assertEquals(200, response.status(), bytes);
+                    assertEquals("me", new String(response.body(), ISO_8859_1), bytes);
                 }
             }
         }
     }
 
     @Test
-    void silenceFailsAtTheDeadlineAndTheConnectionIsClosed() throws Exception {
+    void aSilentUpstreamFailsTheRequestAtItsDeadlineAndIsDisconnected() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             long start = System.nanoTime();
             assertEquals(
                     502, testbed.exchange(SidecarFixture.issueRequest("a", 300)).status());
-            double took = (System.nanoTime() - start) / 1e9;
-            assertTrue(took > 0.25, "took " + took);
+            double seconds = (System.nanoTime() - start) / 1e9;
+            assertTrue(seconds > 0.25, "seconds until the failure: " + seconds);
             assertNotNull(testbed.upstreams.get(0).closed.poll(5, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void aHedgedRequestWinsAndTheOtherIsCancelledByClosing() throws Exception {
+    void whenAHedgedRequestWinsTheConnectionOfTheOtherAttemptIsClosed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT, SILENT)) {
             Socket client = testbed.connect();
             client.getOutputStream().write(SidecarFixture.readRequest("a", 800).getBytes(ISO_8859_1));
@@ -229,11 +232,11 @@
     @Test
     void withoutUpstreamsARequestIsRejectedWithADecimalRetryAfter() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture()) {
-            Message got = testbed.exchange(SidecarFixture.readRequest("a", 900));
-            assertEquals(429, got.status());
-            assertEquals("0.25", got.header("Retry-After"));
+            Message response = testbed.exchange(SidecarFixture.readRequest("a", 900));
+            assertEquals(429, response.status());
+            assertEquals("0.25", response.header("Retry-After"));
             for (int i = 0; i < 20; i++) {
-                // Its deadline and its time in the queue end in one moment: still a rejection, not a failure.
+                // The deadline and the time in the queue end at the same moment: still a rejection, not a failure.
                 assertEquals(
                         429,
                         testbed.exchange(SidecarFixture.readRequest("b" + i, 1)).status());
@@ -242,22 +245,22 @@
     }
 
     @Test
-    void pastTheLimitOnDescriptorsAnIdleConnectionIsClosed() throws Exception {
-        // One connection to upstreams in all; the second upstream gets it where the first one is silent.
+    void atTheSocketLimitAnIdleUpstreamConnectionIsClosedForAnotherUpstream() throws Exception {
+        // The limit allows one connection to upstreams: the other upstream can have it once the idle one is closed.
         try (SidecarFixture testbed = new SidecarFixture(4, answer("200 OK", "0"), answer("200 OK", "1"))) {
             Socket client = testbed.connect();
             Set<String> servedBy = new HashSet<>();
             for (int i = 0; i < 40; i++) {
-                Message got = SidecarFixture.exchange(client, SidecarFixture.issueRequest("q" + i, 900));
-                assertEquals(200, got.status());
-                servedBy.add(new String(got.body(), ISO_8859_1));
+                Message response = SidecarFixture.exchange(client, SidecarFixture.issueRequest("q" + i, 900));
+                assertEquals(200, response.status());
+                servedBy.add(new String(response.body(), ISO_8859_1));
             }
             assertEquals(Set.of("0", "1"), servedBy);
         }
     }
 
     @Test
-    void aCancelledAttemptsConnectionIsGivenBackThoughTheOtherEndKeepsItOpen() throws Exception {
+    void theSocketOfACancelledAttemptIsReleasedEvenIfTheUpstreamKeepsItsEndOpen() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(4, SILENT, SILENT)) {
             Socket first = testbed.connect();
             first.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
@@ -265,10 +268,10 @@
                 Thread.onSpinWait();
             }
             first.close();
-            int at = testbed.upstreams.get(0).received.isEmpty() ? 1 : 0;
-            assertNotNull(testbed.upstreams.get(at).closed.poll(5, TimeUnit.SECONDS));
-            for (ScriptedServer each : testbed.upstreams) {
-                each.script = answer("200 OK", "u");
+            int attempted = testbed.upstreams.get(0).received.isEmpty() ? 1 : 0;
+            assertNotNull(testbed.upstreams.get(attempted).closed.poll(5, TimeUnit.SECONDS));
+            for (ScriptedServer upstream : testbed.upstreams) {
+                upstream.script = answer("200 OK", "u");
             }
             assertEquals(
                     200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
@@ -280,7 +283,7 @@
     @Test
     void malformedRequestsAreRejectedAndNeverForwarded() throws Exception {
         String good = SidecarFixture.requestHead("GET /read/x", "id", "read", 500);
-        List<String> bad = List.of(
+        List<String> malformed = List.of(
                 "nonsense\r\n\r\n",
                 good.replace("X-Trace-Id: id\r\n", "") + "\r\n",
                 good + "X-Trace-Id: id2\r\n\r\n",
@@ -301,9 +304,9 @@
                 SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500) + "Content-Length: x\r\n\r\n",
                 good.replace("X-Qos: read", "X-Qos:\r\n read") + "\r\n");
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
-            for (String each : bad) {
-                int status = testbed.exchange(each).status();
-                assertTrue(status >= 400 && status < 500 && status != 429, status + " to " + each);
+            for (String request : malformed) {
+                int status = testbed.exchange(request).status();
+                assertTrue(status >= 400 && status < 500 && status != 429, status + " in response to " + request);
             }
             assertEquals(200, testbed.exchange(good + "\r\n").status());
             assertEquals(1, testbed.receivedCount());
@@ -322,7 +325,7 @@
     }
 
     @Test
-    void theNextRequestSentAheadWaitsForItsTurn() throws Exception {
+    void pipelinedRequestsAreAllServed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             Socket client = testbed.connect();
             client.getOutputStream()
@@ -331,8 +334,8 @@
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(2, testbed.receivedCount());
-            String two = SidecarFixture.issueRequest("c", 900) + SidecarFixture.issueRequest("d", 900);
-            client.getOutputStream().write(two.getBytes(ISO_8859_1));
+            String both = SidecarFixture.issueRequest("c", 900) + SidecarFixture.issueRequest("d", 900);
+            client.getOutputStream().write(both.getBytes(ISO_8859_1));
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(200, Message.read(client.getInputStream()).status());
             assertEquals(4, testbed.receivedCount());
@@ -340,7 +343,7 @@
     }
 
     @Test
-    void drainingServesOpenConnectionsAsLongAsItMayThenClosesThem() throws Exception {
+    void aDrainServesOpenConnectionsUntilItsTimeIsUpAndThenClosesThem() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             testbed.connect();
             Socket open = testbed.connect();
@@ -356,28 +359,28 @@
             }
             Message early = testbed.exchange(SidecarFixture.readRequest("b", 900));
             assertEquals(200, early.status());
-            long gone = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
+            long acceptDeadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
             while (accepts(testbed)) {
-                assertTrue(System.nanoTime() < gone, "still accepts");
+                assertTrue(System.nanoTime() < acceptDeadline, "new connections are still accepted");
                 Thread.sleep(20);
             }
-            assertTrue(System.nanoTime() - start > 0.5e9, "no longer accepts");
+            assertTrue(System.nanoTime() - start > 0.5e9, "new connections are refused too early");
             Message late = SidecarFixture.exchange(open, SidecarFixture.readRequest("c", 900));
             assertEquals(200, late.status());
             assertNull(late.header("Connection"));
             ScriptedServer upstream = testbed.upstreams.get(0);
             upstream.script = SILENT;
-            // The longest deadline is 1 s, so SIGKILL may come 1.7 s after SIGTERM: the response comes before.
+            // The longest deadline is 1 s, so SIGKILL may follow SIGTERM after 1.7 s: the response must come before.
             Thread.sleep(300);
             assertEquals(
                     502,
                     SidecarFixture.exchange(open, SidecarFixture.issueRequest("d", 2000))
                             .status());
-            assertTrue(System.nanoTime() - start < 1.7e9, "answered after the end");
+            assertTrue(System.nanoTime() - start < 1.7e9, "answered after the time of SIGKILL");
             drain.join();
-            assertTrue(System.nanoTime() - start < 1.8e9, "ended late");
-            for (Socket each : testbed.clients) {
-                assertTrue(each.isClosed() || each.getInputStream().read() < 0, "a client is left connected");
+            assertTrue(System.nanoTime() - start < 1.8e9, "the drain ended late");
+            for (Socket client : testbed.clients) {
+                assertTrue(client.isClosed() || client.getInputStream().read() < 0, "a client is left connected");
             }
         }
     }
@@ -406,17 +409,18 @@
     }
 
     @Test
-    void drainingEndsWhenAllClientsHaveGone() throws Exception {
+    void aDrainEndsOnceAllClientsHaveLeft() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             assertEquals(
                     200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             testbed.clients.get(0).close();
             long start = System.nanoTime();
             testbed.sidecar.drain();
-            assertTrue(System.nanoTime() - start < 1.2e9, "waits for nobody");
+            assertTrue(System.nanoTime() - start < 1.2e9, "the drain goes on without clients");
         }
     }
 
+    /** Whether the sidecar accepts new connections. */
     private static boolean accepts(SidecarFixture testbed) throws Exception {
         try {
             testbed.connect().close();
@@ -429,7 +433,7 @@
     // ---- Clients that use up connections ----------------------------------------------------------------
 
     @Test
-    void silentConnectionsNeitherStayNorLockOthersOut() throws Exception {
+    void silentConnectionsAreClosedAndDoNotLockOutOtherClients() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(64, answer("200 OK", "u"))) {
             long start = System.nanoTime();
             List<Socket> silent = new ArrayList<>();
@@ -438,18 +442,22 @@
             }
             assertEquals(
                     200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
-            assertTrue(System.nanoTime() - start < 1.5e9, "locked out for " + (System.nanoTime() - start) / 1e9);
-            for (Socket each : silent) {
-                assertEquals(-1, each.getInputStream().read());
+            assertTrue(
+                    System.nanoTime() - start < 1.5e9,
+                    "seconds that another client was locked out: " + (System.nanoTime() - start) / 1e9);
+            for (Socket client : silent) {
+                assertEquals(-1, client.getInputStream().read());
             }
-            assertTrue(System.nanoTime() - start < 3e9, "held for " + (System.nanoTime() - start) / 1e9);
+            assertTrue(
+                    System.nanoTime() - start < 3e9,
+                    "seconds until all silent connections were closed: " + (System.nanoTime() - start) / 1e9);
         }
     }
 
     @Test
-    void headsAndBodiesThatDoNotEndAreEndedWithinThreeSeconds() throws Exception {
+    void incompleteHeadsAndBodiesAreCutOffWithinThreeSeconds() throws Exception {
         String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500);
-        List<String> endless = List.of(
+        List<String> incomplete = List.of(
                 "GET /read/x HT",
                 head,
                 head + "Content-Length: 9\r\n\r\nhalf",
@@ -458,52 +466,54 @@
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             long start = System.nanoTime();
             List<Socket> clients = new ArrayList<>();
-            for (String each : endless) {
+            for (String bytes : incomplete) {
                 clients.add(testbed.connect());
-                clients.get(clients.size() - 1).getOutputStream().write(each.getBytes(ISO_8859_1));
+                clients.get(clients.size() - 1).getOutputStream().write(bytes.getBytes(ISO_8859_1));
             }
-            for (Socket each : clients) {
-                Message got = Message.read(each.getInputStream());
-                assertTrue(got == null || got.status() >= 400, "got " + got);
+            for (Socket client : clients) {
+                Message response = Message.read(client.getInputStream());
+                assertTrue(response == null || response.status() >= 400, "got " + response);
             }
-            assertTrue(System.nanoTime() - start < 3e9, "took " + (System.nanoTime() - start) / 1e9);
+            assertTrue(
+                    System.nanoTime() - start < 3e9,
+                    "seconds until all were cut off: " + (System.nanoTime() - start) / 1e9);
             assertEquals(0, testbed.receivedCount());
         }
     }
 
     @Test
-    void aRequestThatHidesAnotherOrIsTooLongEndsItsConnection() throws Exception {
-        String hidden = SidecarFixture.readRequest("hidden", 900);
+    void aRequestWithAmbiguousFramingOrATooLongBodyEndsItsConnection() throws Exception {
+        String smuggled = SidecarFixture.readRequest("hidden", 900);
         String head = SidecarFixture.requestHead("POST /issue/x", "id", "issue", 500);
-        List<String> bad = List.of(
-                head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-                head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi" + hidden,
-                head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-                head + "Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n" + hidden,
-                head + "Content-Length: -2\r\n\r\n" + hidden,
-                head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + hidden,
-                head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhihi\r\n0\r\n\r\n" + hidden,
-                head + "Content-Length: 60000000\r\n\r\n" + hidden);
+        List<String> requests = List.of(
+                head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+                head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi" + smuggled,
+                head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+                head + "Transfer-Encoding: identity, chunked\r\n\r\n0\r\n\r\n" + smuggled,
+                head + "Content-Length: -2\r\n\r\n" + smuggled,
+                head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + smuggled,
+                head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhihi\r\n0\r\n\r\n" + smuggled,
+                head + "Content-Length: 60000000\r\n\r\n" + smuggled);
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
-            for (String each : bad) {
+            for (String request : requests) {
                 Socket client = testbed.connect();
                 long start = System.nanoTime();
-                Message got = SidecarFixture.exchange(client, each);
-                int status = got == null ? 400 : got.status();
-                assertTrue(status >= 400 && status < 500 && status != 429, status + " to " + each);
+                Message response = SidecarFixture.exchange(client, request);
+                int status = response == null ? 400 : response.status();
+                assertTrue(status >= 400 && status < 500 && status != 429, status + " in response to " + request);
                 try {
-                    assertEquals(-1, client.getInputStream().read(), "open after " + each);
+                    assertEquals(-1, client.getInputStream().read(), "the connection stays open after " + request);
                 } catch (SocketException e) {
                     // Reset: closed as well.
                 }
-                assertTrue(System.nanoTime() - start < 1e9, "slow at " + each);
+                assertTrue(System.nanoTime() - start < 1e9, "closed late after " + request);
             }
             assertEquals(0, testbed.receivedCount());
         }
     }
 
     @Test
-    void aRequestWithAnOpenIdIsRejectedAndTheOpenOneIsAnswered() throws Exception {
+    void aRequestWithTheIdOfAnOpenOneIsRejectedAndTheOpenOneIsServed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket first = testbed.connect();
             first.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
@@ -518,7 +528,7 @@
     // ---- Connections to upstreams -----------------------------------------------------------------------
 
     @Test
-    void aConnectionIsReusedAndClosedWellBeforeTheUpstreamWould() throws Exception {
+    void anIdleUpstreamConnectionIsReusedAndClosedWellBeforeTheUpstreamWouldCloseIt() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             ScriptedServer upstream = testbed.upstreams.get(0);
             for (int i = 0; i < 5; i++) {
@@ -530,15 +540,15 @@
                 Thread.sleep(20);
             }
             assertEquals(1, upstream.accepted.size());
-            long rests = System.nanoTime();
+            long idleSince = System.nanoTime();
             assertNotNull(upstream.closed.poll(5, TimeUnit.SECONDS));
-            double rested = (System.nanoTime() - rests) / 1e9;
-            assertTrue(rested > 0.3 && rested < 0.9, "closed after " + rested);
+            double idleSeconds = (System.nanoTime() - idleSince) / 1e9;
+            assertTrue(idleSeconds > 0.3 && idleSeconds < 0.9, "closed after idle seconds: " + idleSeconds);
         }
     }
 
     @Test
-    void anIdleConnectionThatTheUpstreamEndedIsNotUsed() throws Exception {
+    void anIdleConnectionThatTheUpstreamClosedIsNotUsed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK\r\nConnection: close", "u"))) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
@@ -553,7 +563,8 @@
             assertEquals(
                     200, testbed.exchange(SidecarFixture.issueRequest("a", 900)).status());
             upstream.accepted.get(0).shutdownOutput();
-            assertNotNull(upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a dead connection is kept");
+            assertNotNull(
+                    upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a connection that the upstream closed is kept");
             assertEquals(
                     200, testbed.exchange(SidecarFixture.issueRequest("b", 900)).status());
         }
@@ -562,7 +573,7 @@
     // ---- The endpoint list ------------------------------------------------------------------------------
 
     @Test
-    void aWatchFollowsAWatchAtOnceAndAnAddressMayChange() throws Exception {
+    void theWatchIsRenewedAtOnceAndAnUpstreamMayChangeItsAddress() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "old"));
                 ScriptedServer moved = new ScriptedServer(answer("200 OK", "new"))) {
             assertEquals(
@@ -589,7 +600,7 @@
     }
 
     @Test
-    void aDrainingUpstreamIsSentNothingMore() throws Exception {
+    void aDrainingUpstreamGetsNoMoreRequests() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "0"), answer("200 OK", "1"))) {
             testbed.discovery.next();
             answer("200 OK", "{\"seq\":9,\"whole\":false,\"hosts\":[" + testbed.endpointRow(0, "DRAINING") + "]}")
@@ -607,7 +618,7 @@
     }
 
     @Test
-    void connectionsToAnEndpointThatIsGoneAreClosedAndAnotherAtItsAddressSharesNothing() throws Exception {
+    void connectionsToARemovedEndpointAreClosedAndNotUsedForAnotherAtItsAddress() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
             ScriptedServer upstream = testbed.upstreams.get(0);
             assertEquals(
@@ -616,7 +627,8 @@
             String row = SidecarFixture.endpointRow("s-other", upstream.address(), "SERVING");
             answer("200 OK", "{\"seq\":9,\"whole\":true,\"hosts\":[" + row + "]}")
                     .run(null, testbed.discovery.accepted.get(0));
-            assertNotNull(upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a connection to none is kept");
+            assertNotNull(
+                    upstream.closed.poll(300, TimeUnit.MILLISECONDS), "a connection to a removed endpoint is kept");
             assertEquals(
                     200, testbed.exchange(SidecarFixture.readRequest("b", 900)).status());
             assertEquals(2, upstream.accepted.size());
@@ -624,18 +636,18 @@
     }
 
     @Test
-    void malformedEndpointListsKeepTheOldOneAndArePolledAgain() throws Exception {
-        List<String> bad = List.of(
+    void afterAMalformedEndpointListTheOldOneStaysAndDiscoveryIsPolledAgain() throws Exception {
+        List<String> malformed = List.of(
                 "[]",
                 "{",
                 "{\"seq\":9,\"hosts\":[{\"host\":\"x\",\"health\":\"SERVING\",\"dial\":\"name:80\"}]}",
                 "{\"seq\":\"9\",\"hosts\":[]}",
                 "{\"hosts\":7}");
-        for (String each : bad) {
+        for (String list : malformed) {
             try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
                 testbed.discovery.next();
-                answer("200 OK", each).run(null, testbed.discovery.accepted.get(0));
-                assertTrue(testbed.discovery.next().startLine().contains("index=7"), each);
+                answer("200 OK", list).run(null, testbed.discovery.accepted.get(0));
+                assertTrue(testbed.discovery.next().startLine().contains("index=7"), list);
                 assertEquals(
                         200,
                         testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
@@ -644,14 +656,15 @@
     }
 
     @Test
-    void aNewConfigurationMovesTheWatchAtOnceAndEveryTime() throws Exception {
+    void eachConfigurationReloadMovesTheWatchToTheNewAddressAtOnce() throws Exception {
         String list = "{\"seq\":3,\"whole\":true,\"hosts\":[]}";
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"));
                 ScriptedServer second = new ScriptedServer(SILENT)) {
             assertTrue(testbed.discovery.next().startLine().contains("index=7"));
             testbed.reload(second.address());
             assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
-            assertNotNull(testbed.discovery.closed.poll(1, TimeUnit.SECONDS), "the old connection stays");
+            assertNotNull(
+                    testbed.discovery.closed.poll(1, TimeUnit.SECONDS), "the connection to the old address stays open");
             assertEquals(
                     200, testbed.exchange(SidecarFixture.readRequest("a", 900)).status());
             answer("200 OK", list).run(null, second.accepted.get(0));
@@ -661,17 +674,17 @@
             testbed.reload(testbed.discovery.address());
             assertEquals(
                     "GET /discovery/hosts HTTP/1.1", testbed.discovery.next().startLine());
-            assertNotNull(second.closed.poll(1, TimeUnit.SECONDS), "the second connection stays");
+            assertNotNull(second.closed.poll(1, TimeUnit.SECONDS), "the connection to the second address stays open");
         }
     }
 
     @Test
-    void aHangUpSignalReadsTheFileAgainAndABadOneChangesNothing() throws Exception {
+    void sighupReloadsTheConfigurationAndAMalformedFileChangesNothing() throws Exception {
         Path file = Files.createTempFile("portrelay", ".json");
         try (ScriptedServer first = new ScriptedServer(SILENT);
                 ScriptedServer second = new ScriptedServer(SILENT)) {
-            String none = "{\"seq\":1,\"hosts\":[]}";
-            Files.writeString(file, SidecarFixture.config(first.address(), none, 1024));
+            String emptyList = "{\"seq\":1,\"hosts\":[]}";
+            Files.writeString(file, SidecarFixture.config(first.address(), emptyList, 1024));
             Process serve = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "java")
                                     .toString(),
@@ -688,7 +701,7 @@
                 Files.writeString(file, "{");
                 new ProcessBuilder("kill", "-HUP", "" + serve.pid()).start().waitFor();
                 awaitLine(log, "configuration reload failed, the old one stays");
-                Files.writeString(file, SidecarFixture.config(second.address(), none, 1024));
+                Files.writeString(file, SidecarFixture.config(second.address(), emptyList, 1024));
                 new ProcessBuilder("kill", "-HUP", "" + serve.pid()).start().waitFor();
                 assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
                 assertTrue(serve.isAlive());
@@ -701,8 +714,9 @@
         }
     }
 
-    private static void awaitLine(BufferedReader log, String part) throws Exception {
-        for (String line = log.readLine(); !line.contains(part); line = log.readLine()) {
+    /** Reads the log up to a line with this text; fails at a line of the level fault. */
+    private static void awaitLine(BufferedReader log, String text) throws Exception {
+        for (String line = log.readLine(); !line.contains(text); line = log.readLine()) {
             assertFalse(line.contains("fault"), line);
         }
     }
@@ -710,20 +724,20 @@
     // ---- Configuration ----------------------------------------------------------------------------------
 
     @Test
-    void aBadConfigurationIsNamedByItsField() throws Exception {
+    void anInvalidConfigurationIsReportedWithItsField() throws Exception {
         String good = SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 1024);
         assertTrue(Sidecar.check(SidecarConfig.parse(good.getBytes(ISO_8859_1))));
-        assertNamed("listen", good.replace("127.0.0.1:0", "localhost:0"));
-        assertNamed("discovery", good.replace("127.0.0.1:1", "127.0.0.256:1"));
-        assertNamed("seed", good.replace("8c1f30d27a5be964", "xyz"));
-        assertNamed("known.seq", good.replace("\"seq\":1", "\"seq\":\"1\""));
-        assertNamed("settings.classes[1].effect", good.replace("idempotency_key", "who knows"));
-        assertNamed("settings.allowed", good.replace("\"allowed\"", "\"denied\""));
-        assertNamed("limits.sockets", good.replace("1024", "true"));
-        assertNamed("the whole", good + "}");
+        assertReportedField("listen", good.replace("127.0.0.1:0", "localhost:0"));
+        assertReportedField("discovery", good.replace("127.0.0.1:1", "127.0.0.256:1"));
+        assertReportedField("seed", good.replace("8c1f30d27a5be964", "xyz"));
+        assertReportedField("known.seq", good.replace("\"seq\":1", "\"seq\":\"1\""));
+        assertReportedField("settings.classes[1].effect", good.replace("idempotency_key", "who knows"));
+        assertReportedField("settings.allowed", good.replace("\"allowed\"", "\"denied\""));
+        assertReportedField("limits.sockets", good.replace("1024", "true"));
+        assertReportedField("the whole", good + "}");
     }
 
-    private static void assertNamed(String field, String json) {
+    private static void assertReportedField(String field, String json) {
         InvalidSettingException e =
                 assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json.getBytes(ISO_8859_1)));
         assertTrue(e.getMessage().startsWith(field + ":"), e.getMessage());
