--- a/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
@@ -48,9 +48,7 @@
         return (System.nanoTime() - start) / 1e9;
     }
 
-    /**
-     * Guards against clients that are locked out by connections without a complete request or that read no response.
-     */
+    /** Guards against locking clients out for connections that send no complete request or read no response. */
     @Test
     void silentSlowAndUnreadingConnectionsDoNotDelayUsualClients() throws Exception {
         CountDownLatch stop = new CountDownLatch(1);
@@ -109,7 +107,7 @@
                     // Evicted.
                 }
             }
-            assertTrue(answered >= 40, "requests answered: " + answered);
+            assertTrue(answered >= 40, answered + " requests were answered");
             assertEquals(
                     200,
                     testbed.exchange(SidecarFixture.readRequest("after", 900)).status());
@@ -129,7 +127,7 @@
             while (open > 20 && System.nanoTime() < deadlineNanos) {
                 open = testbed.clients.stream().filter(AdmissionNetTest::isOpen).count();
             }
-            assertTrue(open <= 20, "idle connections that are still open: " + open);
+            assertTrue(open <= 20, open + " idle connections are still open");
         }
     }
 
--- a/daemon/src/test/java/portrelay/net/DescriptorsTest.java
+++ b/daemon/src/test/java/portrelay/net/DescriptorsTest.java
@@ -108,7 +108,7 @@
      * Returns 200 once a request is served, or 0 after 50 tries. The sidecar may close new connections unread; the
      * client then sends its request on another one.
      */
-    private static int serveStatus(int port, String name) throws Exception {
+    private static int awaitServedStatus(int port, String name) throws Exception {
         for (int i = 0; i < 50; i++) {
             try {
                 Message response = exchange(port, SidecarFixture.readRequest(name + i, 900));
@@ -183,7 +183,7 @@
             discovery.close();
             // Some seconds in which polls of discovery fail and the clients take each descriptor that is released.
             Thread.sleep(3000);
-            assertEquals(200, serveStatus(port, "away"), Files.readString(log));
+            assertEquals(200, awaitServedStatus(port, "away"), Files.readString(log));
             String nextList = "{\"seq\":9,\"whole\":true,\"hosts\":["
                     + SidecarFixture.endpointRow("s-1", second.address(), "SERVING") + "]}";
             ScriptedServer restarted = new ScriptedServer(SILENT, discoveryPort);
@@ -193,7 +193,7 @@
             answer("200 OK", nextList).run(null, restarted.accepted.get(restarted.accepted.size() - 1));
             assertTrue(restarted.next().startLine().contains("index=9"), "the new endpoint list was not read");
             // A connect to an upstream without a connection so far, and an operator call.
-            assertEquals(200, serveStatus(port, "back"), Files.readString(log));
+            assertEquals(200, awaitServedStatus(port, "back"), Files.readString(log));
             assertTrue(second.received.size() > 0, "the request was not sent to the upstream of the new list");
             Message response = exchange(adminPort, "GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(200, response.status());
--- a/daemon/src/test/java/portrelay/net/ManualEventLoop.java
+++ b/daemon/src/test/java/portrelay/net/ManualEventLoop.java
@@ -8,9 +8,7 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.MonotonicClock;
 
-/**
- * An event loop on a real I/O thread whose clock stands still and whose timers are pending until a test advances it.
- */
+/** An event loop on a real I/O thread with a manual clock, which moves and runs timers only when a test advances it. */
 final class ManualEventLoop extends EventLoop {
 
     private static final class Timer implements XnioExecutor.Key {
--- a/daemon/src/test/java/portrelay/net/SidecarFixture.java
+++ b/daemon/src/test/java/portrelay/net/SidecarFixture.java
@@ -27,7 +27,7 @@
 /**
  * Runs a sidecar on loopback together with scripted upstreams and a scripted discovery, and connects clients to it.
  *
- * <p>Sockets that the tests open here time out after 5 s without a byte. {@link #close} ends all of it.
+ * <p>Sockets that the tests open here time out after 5 s without a byte. {@link #close} closes the sidecar, the servers and the clients.
  */
 public final class SidecarFixture implements AutoCloseable {
 
@@ -245,7 +245,8 @@
     }
 
     /**
-     * Sets the longest deadline to 9 s instead of 1 s, for tests in which none may pass, however busy the machine is.
+     * Sets the latency objective and the longest deadline of each request class to 9 s instead of 0.6 s and 1 s, for
+     * tests in which no deadline may pass, however busy the machine is.
      */
     static UnaryOperator<String> longDeadlines() {
         return config -> config.replace(
