--- a/daemon/src/test/java/portrelay/net/SidecarFixture.java
+++ b/daemon/src/test/java/portrelay/net/SidecarFixture.java
@@ -27,7 +27,8 @@
 /**
  * Runs a sidecar on loopback together with scripted upstreams and a scripted discovery, and connects clients to it.
  *
- * <p>Sockets that the tests open here time out after 5 s without a byte. {@link #close} closes the sidecar, the servers and the clients.
+ * <p>Sockets that the tests open here time out after 5 s without a byte. {@link #close} closes the sidecar, the servers
+ * and the clients.
  */
 public final class SidecarFixture implements AutoCloseable {
 
