--- a/daemon/src/test/java/portrelay/net/AdminNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdminNetTest.java
@@ -293,11 +293,11 @@
                 .getMessage();
         assertTrue(message.startsWith("mgmt:"), message);
         SidecarConfig config = SidecarConfig.parse(validConfig.getBytes(ISO_8859_1));
-        message = assertThrows(InvalidSettingException.class, () -> config.withMgmt("there"))
+        message = assertThrows(InvalidSettingException.class, () -> config.withAdminAddress("there"))
                 .getMessage();
         assertTrue(message.startsWith("LB_MGMT:"), message);
         try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            SidecarConfig conflicting = config.withMgmt("127.0.0.1:" + occupied.getLocalPort());
+            SidecarConfig conflicting = config.withAdminAddress("127.0.0.1:" + occupied.getLocalPort());
             String cause = assertThrows(IOException.class, () -> Sidecar.start(conflicting, System.err))
                     .getMessage();
             assertTrue(cause.startsWith("mgmt "), cause);
--- a/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
+++ b/daemon/src/test/java/portrelay/net/AdmissionNetTest.java
@@ -34,7 +34,7 @@
 class AdmissionNetTest {
 
     /** Serves each message after so many milliseconds; the messages of all connections concurrently. */
-    private static Script serveAfter(long millis) {
+    private static Script after(long millis) {
         return (message, connection) -> {
             Thread.sleep(millis);
             answer("200 OK", "ok").run(message, connection);
@@ -87,7 +87,7 @@
      */
     @Test
     void withMoreConcurrentRequestsThanConnectionsEachIsAnsweredOrClosed() throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(60, serveAfter(50))) {
+        try (SidecarFixture testbed = new SidecarFixture(60, after(50))) {
             List<Socket> clients = new ArrayList<>();
             for (int round = 0; round < 5; round++) {
                 for (int i = 0; i < 60; i++) {
@@ -214,8 +214,7 @@
         ExecutorService threads = Executors.newCachedThreadPool();
         CountDownLatch counting = new CountDownLatch(1);
         CountDownLatch stop = new CountDownLatch(1);
-        try (SidecarFixture testbed =
-                new SidecarFixture(1024, "{\"most-inside\": 8}", serveAfter(10), serveAfter(10))) {
+        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 8}", after(10), after(10))) {
             List<Future<Integer>> loud = new ArrayList<>();
             List<Future<Integer>> quiet = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
@@ -250,8 +249,8 @@
         AtomicIntegerArray admitted = new AtomicIntegerArray(2);
         AtomicIntegerArray rejected = new AtomicIntegerArray(2);
         CountDownLatch stop = new CountDownLatch(1);
-        try (SidecarFixture testbed = new SidecarFixture(
-                1024, "{\"most-inside\": 8, \"most-waiting\": 16}", serveAfter(20), serveAfter(20))) {
+        try (SidecarFixture testbed =
+                new SidecarFixture(1024, "{\"most-inside\": 8, \"most-waiting\": 16}", after(20), after(20))) {
             List<Future<?>> clients = new ArrayList<>();
             for (int n = 0; n < 50; n++) {
                 int client = n;
@@ -299,7 +298,7 @@
     /** Guards against a drain that leaves queued requests unanswered. */
     @Test
     void aDrainAnswersAllQueuedRequests() throws Exception {
-        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 2}", serveAfter(100))) {
+        try (SidecarFixture testbed = new SidecarFixture(1024, "{\"most-inside\": 2}", after(100))) {
             List<Socket> waiting = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 Socket client = testbed.connect();
