--- a/daemon/src/main/java/portrelay/cli/CheckCommand.java
+++ b/daemon/src/main/java/portrelay/cli/CheckCommand.java
@@ -17,37 +17,37 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** Runs the warm-up alone: exit code 1 where the configuration served none of its requests. */
-@Parameters(commandDescription = "read a configuration and try it out in memory, on no socket")
+/** Runs only the warm-up; exits with code 1 if none of its requests was served. */
+@Parameters(commandDescription = "read a configuration and try it out in memory, without sockets")
 final class CheckCommand extends ConfigCommand {
 
-    private static final int DOES_NOT_SERVE = 1;
+    private static final int SERVES_NOTHING = 1;
     private static final String ANY_PORT = "127.0.0.1:0";
     private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n";
 
     @Parameter(
             names = "--open",
-            description = "also start the sidecar, at a loopback port of the system's choice, and shut it down")
+            description = "also start the sidecar, at a loopback port that the system chooses, and shut it down")
     private boolean opensSidecar;
 
     @Override
     int run(SidecarConfig config) throws IOException, InvalidSettingException {
-        config.ignoredSettings().forEach(each -> System.out.println("not yet on sockets: " + each));
+        config.ignoredSettings().forEach(setting -> System.out.println("not yet on sockets: " + setting));
         boolean serves = Sidecar.check(config);
-        System.out.println(serves ? "the configuration serves" : "no query was handled with it");
+        System.out.println(serves ? "the configuration serves" : "the configuration served no request");
         if (serves && opensSidecar) {
-            open(config.withListen(ANY_PORT).withMgmt(ANY_PORT));
+            open(config.withListen(ANY_PORT).withAdminAddress(ANY_PORT));
             System.out.println("the sidecar starts and shuts down");
         }
-        return serves ? 0 : DOES_NOT_SERVE;
+        return serves ? 0 : SERVES_NOTHING;
     }
 
-    /** Its log goes nowhere: discovery need not be there. */
+    /** Starts the sidecar and shuts it down. Its log is discarded, as discovery need not be reachable. */
     private static void open(SidecarConfig config) throws IOException, InvalidSettingException {
         Path handoverDirectory = Files.createTempDirectory("portrelay-check");
         try (Sidecar sidecar = Sidecar.start(
                 config, new PrintStream(OutputStream.nullOutputStream(), false, US_ASCII), handoverDirectory)) {
-            askReadiness(sidecar);
+            requestReadiness(sidecar);
             sidecar.reload(config);
             sidecar.drain();
         } finally {
@@ -55,7 +55,7 @@
         }
     }
 
-    private static void askReadiness(Sidecar sidecar) throws IOException {
+    private static void requestReadiness(Sidecar sidecar) throws IOException {
         try (Socket client =
                 new Socket(sidecar.address().getAddress(), sidecar.address().getPort())) {
             client.getOutputStream().write(READINESS_REQUEST.getBytes(US_ASCII));
@@ -68,8 +68,8 @@
         try (Stream<Path> files = Files.walk(folder)) {
             deepestFirst = files.sorted(Comparator.reverseOrder()).toList();
         }
-        for (Path each : deepestFirst) {
-            Files.delete(each);
+        for (Path path : deepestFirst) {
+            Files.delete(path);
         }
     }
 }
--- a/daemon/src/main/java/portrelay/cli/ConfigCommand.java
+++ b/daemon/src/main/java/portrelay/cli/ConfigCommand.java
@@ -11,57 +11,66 @@
 import portrelay.settings.InvalidSettingException;
 
 /**
- * A command that takes a sidecar's configuration; a bad one ends it with exit code 2 and one line that names the field.
+ * A command that takes a sidecar's configuration. An invalid configuration ends it with exit code 2 and one line that
+ * names the field.
  */
 abstract class ConfigCommand implements Command {
 
-    private static final int BAD_CONFIGURATION = 2;
+    private static final int INVALID_CONFIGURATION = 2;
 
     @Parameter(names = "--config", description = "a sidecar's configuration, a JSON file")
-    private String configFile = System.getenv(SidecarConfig.FILE);
+    private String configFile = System.getenv(SidecarConfig.CONFIG_FILE_VARIABLE);
 
-    @Parameter(names = "--door", description = "the door's settings, a JSON file of their own")
+    @Parameter(names = "--door", description = "the admission settings, a separate JSON file")
     private String admissionFile;
 
-    /** Runs with a configuration that has been checked; what it throws is reported as a bad configuration. */
+    /**
+     * Runs the command with a validated configuration.
+     *
+     * @return the exit code
+     * @throws IOException reported as an invalid configuration
+     * @throws InvalidSettingException reported as an invalid configuration
+     */
     abstract int run(SidecarConfig config) throws IOException, InvalidSettingException, InterruptedException;
 
     @Override
     public final int run() {
-        // Silences the libraries' logging: this process writes its own log.
+        // Turns off logging by libraries, as this process writes its own log.
         LogManager.getLogManager().reset();
         Logger.getLogger("").setLevel(Level.OFF);
         if (configFile == null) {
-            return badConfiguration(SidecarConfig.FILE + ": expected a file's name, or --config FILE");
+            return reportInvalidConfiguration(
+                    SidecarConfig.CONFIG_FILE_VARIABLE + ": expected a file's name, or --config FILE");
         }
         try {
             return run(read());
         } catch (InvalidSettingException e) {
-            return badConfiguration(e.getMessage());
+            return reportInvalidConfiguration(e.getMessage());
         } catch (IOException e) {
-            return badConfiguration(e.getMessage());
+            return reportInvalidConfiguration(e.getMessage());
         } catch (InterruptedException e) {
             return 0;
         }
     }
 
     /**
-     * Reads the files anew. An admin address in the environment wins over the file's, as it is meant for this process
-     * alone.
+     * Reads the configuration from its files, again with each call. An admin address in the environment takes
+     * precedence over that in the file, as it applies to this process only.
      */
     final SidecarConfig read() throws InvalidSettingException {
-        SidecarConfig config = SidecarConfig.parse(readFile(SidecarConfig.FILE, configFile));
-        String adminAddress = System.getenv(SidecarConfig.MGMT);
+        SidecarConfig config = SidecarConfig.parse(readFile(SidecarConfig.CONFIG_FILE_VARIABLE, configFile));
+        String adminAddress = System.getenv(SidecarConfig.ADMIN_ADDRESS_VARIABLE);
         if (adminAddress != null && !adminAddress.isEmpty()) {
-            config = config.withMgmt(adminAddress);
+            config = config.withAdminAddress(adminAddress);
         }
         return admissionFile == null ? config : config.withAdmission(readFile("--door", admissionFile));
     }
 
     /**
-     * The bytes of a file.
+     * Returns the contents of a file.
      *
-     * @param option that named it, for the message where it can't be read
+     * @param option option or environment variable that names the file, for the error message
+     * @throws InvalidSettingException if the file can't be read
      */
     static byte[] readFile(String option, String file) throws InvalidSettingException {
         try {
@@ -71,8 +80,8 @@
         }
     }
 
-    private static int badConfiguration(String why) {
-        System.err.println("portrelay: " + why);
-        return BAD_CONFIGURATION;
+    private static int reportInvalidConfiguration(String message) {
+        System.err.println("portrelay: " + message);
+        return INVALID_CONFIGURATION;
     }
 }
--- a/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
+++ b/daemon/src/main/java/portrelay/net/handover/SiblingScan.java
@@ -6,12 +6,12 @@
 import portrelay.net.handover.HandoverService.Sibling;
 
 /**
- * Finds the other processes of this sidecar in the directory, and deletes what ended ones left. Used on the handover
- * thread.
+ * Finds the other processes of this sidecar in the handover directory, and deletes the files of those that have ended.
+ * Used on the handover thread.
  */
 final class SiblingScan {
 
-    /** Guards a process that has made its lock file and not locked it yet: a file younger than this is not deleted. */
+    /** A younger lock file is not deleted: its process may have created it and not locked it yet. */
     private static final double MIN_DELETE_AGE_SECONDS = 5;
 
     private final HandoverDirectory directory;
@@ -24,12 +24,16 @@
         this.log = log;
     }
 
-    /** @param onState called with each state of another process of the owner, and whether that process is alive */
+    /**
+     * Scans the directory once.
+     *
+     * @param onState called with the state of each other process of the owner, and with whether that process is alive
+     */
     void run(HandoverState.Owner owner, BiConsumer<HandoverState, Boolean> onState) {
         sibling = Sibling.NONE;
         hasSuccessor = false;
         try {
-            for (long number : directory.numbers()) {
+            for (long number : directory.processNumbers()) {
                 if (number != directory.ownNumber()) {
                     scan(number, owner, onState);
                 }
@@ -39,7 +43,7 @@
         }
     }
 
-    /** As the last run found it. */
+    /** Returns the state of the sibling process as the last run found it. */
     Sibling sibling() {
         return sibling;
     }
@@ -54,17 +58,17 @@
         boolean isEarlier = number < directory.ownNumber();
         boolean isAlive = directory.isAlive(number);
         HandoverState state = directory.read(number);
-        if (state != null && !owner.isSame(state.owner)) {
-            // Another sidecar's, or one of this sidecar's that does not say yet where it listens.
+        if (state != null && !owner.isSameSidecar(state.owner)) {
+            // The state of another sidecar, or of a process of this sidecar that has not stored its listen address yet.
             return;
         }
         if (state != null) {
             onState.accept(state, isAlive);
         }
-        boolean serves = state != null && state.isServing;
-        hasSuccessor |= isAlive && !isEarlier && serves && !state.isEnding;
+        boolean isServing = state != null && state.isServing;
+        hasSuccessor |= isAlive && !isEarlier && isServing && !state.isShuttingDown;
         if (isAlive && state != null) {
-            sibling = isEarlier || serves || sibling == Sibling.SERVING ? Sibling.SERVING : Sibling.STARTING;
+            sibling = isEarlier || isServing || sibling == Sibling.SERVING ? Sibling.SERVING : Sibling.STARTING;
         }
         if (!isAlive && directory.ageSeconds(number) > MIN_DELETE_AGE_SECONDS && isEarlier) {
             directory.delete(number);
--- a/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
@@ -20,8 +20,8 @@
 @Parameters(commandDescription = "time real sidecars that start at once before a discovery that refuses")
 final class ReadyCommand implements Command {
 
-    private static final int EXIT_USAGE = 2;
-    private static final int EXIT_FAILURE = 1;
+    private static final int INVALID_USAGE = 2;
+    private static final int FAILURE = 1;
     private static final int MAX_PROCESSES = 200;
     private static final int MAX_UPSTREAMS = 10_000;
     /** The share of calls that discovery refuses at the beginning. */
@@ -55,16 +55,16 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit ready: " + invalid);
-            return EXIT_USAGE;
+            return INVALID_USAGE;
         }
         try {
             return timeStarts();
         } catch (IOException e) {
             System.err.println("portrelay-kit ready: " + e.getMessage());
-            return EXIT_FAILURE;
+            return FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return EXIT_FAILURE;
+            return FAILURE;
         }
     }
 
@@ -91,8 +91,8 @@
         Arrays.fill(readyAfter, Double.POSITIVE_INFINITY);
         try (Discovery discovery = new Discovery(1);
                 Sidecars sidecars = new Sidecars(Path.of(root), folder)) {
-            String rows = Sidecars.rows(0, upstreams, "SERVING");
-            discovery.list(rows, "");
+            String rows = Sidecars.endpointRows(0, upstreams, "SERVING");
+            discovery.publish(rows, "");
             discovery.refuse(REFUSED_SHARE, refusingSeconds);
             long startedAt = System.nanoTime();
             for (int i = 0; i < processes; i++) {
@@ -109,8 +109,8 @@
         List<Thread> watchers = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             int index = i;
-            Thread watcher = new Thread(
-                    () -> readyAfter[index] = secondsUntilReady(sidecars.all().get(index), startedAt));
+            Thread watcher = new Thread(() ->
+                    readyAfter[index] = secondsUntilReady(sidecars.instances().get(index), startedAt));
             watchers.add(watcher);
             watcher.start();
         }
@@ -156,6 +156,6 @@
                 readyAfter[(processes - 1) / 2],
                 p90Seconds,
                 readyAfter[processes - 1]);
-        return p90Seconds <= readyWithinSeconds ? 0 : EXIT_FAILURE;
+        return p90Seconds <= readyWithinSeconds ? 0 : FAILURE;
     }
 }
--- a/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
@@ -29,8 +29,8 @@
 @Parameters(commandDescription = "play simulated sidecars, many in one process: what the fleet's size costs")
 final class ScaleCommand implements Command {
 
-    private static final int EXIT_USAGE = 2;
-    private static final int EXIT_FAILURE = 1;
+    private static final int INVALID_USAGE = 2;
+    private static final int FAILURE = 1;
     private static final int MIN_SIDECARS = 2;
     private static final int MAX_SIDECARS = 5000;
     private static final int MAX_SERVICES_CALLED = 50;
@@ -83,7 +83,7 @@
         String invalid = invalidOption(scenarios);
         if (invalid != null) {
             System.err.println("portrelay-kit scale: " + invalid);
-            return EXIT_USAGE;
+            return INVALID_USAGE;
         }
         return measuresOneSidecar ? measureOneSidecar() : playFleets(scenarios);
     }
@@ -136,7 +136,7 @@
             }
         }
         printGrowth(runs, "request_us", "control_core", "bytes_s_mean", "heard_bytes_s_most", "memory_kb");
-        return writeReport(runs) && hasPassed ? 0 : EXIT_FAILURE;
+        return writeReport(runs) && hasPassed ? 0 : FAILURE;
     }
 
     private FleetSize fleetSize(int size) {
@@ -178,7 +178,7 @@
                     RetryAmplification.expectedAttempts(CALL_LEVELS, MAX_ATTEMPTS, failing),
                     RetryAmplification.expectedAttempts(CALL_LEVELS, MAX_ATTEMPTS_WITH_HEDGES_ONLY, failing));
         }
-        return writeReport(runs) ? 0 : EXIT_FAILURE;
+        return writeReport(runs) ? 0 : FAILURE;
     }
 
     /** Prints how each figure grows with the number of sidecars, if there are enough sizes and no figure is 0. */
--- a/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
@@ -25,8 +25,8 @@
         commandDescription = "shut real sidecars down under drawn disturbances and judge what became of each request")
 final class ShutdownCommand implements Command {
 
-    private static final int EXIT_USAGE = 2;
-    private static final int EXIT_FAILURE = 1;
+    private static final int INVALID_USAGE = 2;
+    private static final int FAILURE = 1;
     private static final int MAX_ROUNDS = 10_000;
     private static final int MAX_PARALLEL_ROUNDS = 8;
 
@@ -47,16 +47,16 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit shutdown: " + invalid);
-            return EXIT_USAGE;
+            return INVALID_USAGE;
         }
         try {
             return play();
         } catch (IOException e) {
             System.err.println("portrelay-kit shutdown: " + e.getMessage());
-            return EXIT_FAILURE;
+            return FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return EXIT_FAILURE;
+            return FAILURE;
         }
     }
 
@@ -103,7 +103,7 @@
             roundSeed++;
         }
         System.out.println(count + " rounds from seed " + seed + ": " + totals + "; logs in " + folder);
-        return totals.isGood() ? 0 : EXIT_FAILURE;
+        return totals.hasPassed() ? 0 : FAILURE;
     }
 
     private static void print(ShutdownReport report) {
