--- a/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
+++ b/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
@@ -231,7 +231,7 @@
         openRequests.markAnswered(request);
         loadBalancer.clientLeft(loop.now(), id);
         if (request.incoming.requestBody() != null
-                && !request.incoming.requestBody().written()) {
+                && !request.incoming.requestBody().isWritten()) {
             // The rest of the body will not arrive, so cancel even if the settings do not allow attempts to be
             // cancelled.
             request.cancelAttempts(Outcome.CANCELLED);
--- a/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
+++ b/daemon/src/test/java/portrelay/net/connection/HttpConnectionTest.java
@@ -20,11 +20,15 @@
 import portrelay.net.eventloop.EventLoop;
 import portrelay.net.eventloop.MonotonicClock;
 
+/** Tests which requests an {@link HttpConnection} reports as written. */
 class HttpConnectionTest {
 
-    /** A cancellation may cross the response in the mailbox; guards against an executed request taken for unsent. */
+    /**
+     * A cancellation may be in the mailbox when the response arrives. Guards against an executed request being reported
+     * as not sent.
+     */
     @Test
-    void aCompletedExchangeCountsAsWritten() throws Exception {
+    void completedExchangeCountsAsWritten() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
@@ -35,12 +39,13 @@
             loop.execute(() -> connector.connect(
                     (InetSocketAddress) listener.getLocalSocketAddress(),
                     5,
-                    connection -> connection.exchange(call, 9, result -> written.complete(connection.written())),
-                    () -> written.completeExceptionally(new AssertionError("no connection"))));
+                    connection ->
+                            connection.exchange(call, 9, result -> written.complete(connection.isRequestWritten())),
+                    () -> written.completeExceptionally(new AssertionError("the connection was not opened"))));
             try (Socket upstream = listener.accept()) {
                 upstream.getInputStream().read();
-                String answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                upstream.getOutputStream().write(answer.getBytes(ISO_8859_1));
+                String response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+                upstream.getOutputStream().write(response.getBytes(ISO_8859_1));
                 assertTrue(written.get(5, TimeUnit.SECONDS));
             }
         } finally {
