--- a/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
@@ -17,14 +17,18 @@
 import portrelay.faulttest.ShutdownRound;
 import portrelay.faulttest.ShutdownTotals;
 
+/**
+ * The command "shutdown": runs rounds of the shutdown fault test, each with its own seed, and fails if a round breaks a
+ * rule or ends with an error.
+ */
 @Parameters(
         commandDescription = "shut real sidecars down under drawn disturbances and judge what became of each request")
 final class ShutdownCommand implements Command {
 
-    private static final int BAD_USE = 2;
-    private static final int FAILED = 1;
+    private static final int INVALID_USAGE = 2;
+    private static final int FAILURE = 1;
     private static final int MAX_ROUNDS = 10_000;
-    private static final int MAX_AT_ONCE = 8;
+    private static final int MAX_PARALLEL_ROUNDS = 8;
 
     @Parameter(names = "--seed", description = "of the first round; the next ones count up from it")
     private long seed = 1;
@@ -33,7 +37,7 @@
     private int count = 10;
 
     @Parameter(names = "--at-once", description = "how many rounds run side by side")
-    private int atOnce = 1;
+    private int parallelRounds = 1;
 
     @Parameter(names = "--files", description = "where configurations and logs are kept; a temporary folder by default")
     private String filesFolder;
@@ -43,33 +47,33 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit shutdown: " + invalid);
-            return BAD_USE;
+            return INVALID_USAGE;
         }
         try {
             return play();
         } catch (IOException e) {
             System.err.println("portrelay-kit shutdown: " + e.getMessage());
-            return FAILED;
+            return FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return FAILED;
+            return FAILURE;
         }
     }
 
-    /** Null where all are valid. */
+    /** Returns a message about the first invalid option; null if all are valid. */
     private String invalidOption() {
         if (count < 1 || count > MAX_ROUNDS) {
             return "--count: 1 to " + MAX_ROUNDS;
         }
-        if (atOnce < 1 || atOnce > MAX_AT_ONCE) {
-            return "--at-once: 1 to " + MAX_AT_ONCE;
+        if (parallelRounds < 1 || parallelRounds > MAX_PARALLEL_ROUNDS) {
+            return "--at-once: 1 to " + MAX_PARALLEL_ROUNDS;
         }
         return null;
     }
 
     private int play() throws IOException, InterruptedException {
         Path folder = filesFolder == null ? Files.createTempDirectory("portrelay-shutdown") : Path.of(filesFolder);
-        ExecutorService workers = Executors.newFixedThreadPool(atOnce);
+        ExecutorService workers = Executors.newFixedThreadPool(parallelRounds);
         List<Future<List<ShutdownReport>>> rounds = new ArrayList<>();
         for (long roundSeed = seed; roundSeed < seed + count; roundSeed++) {
             ShutdownPlan plan = ShutdownPlan.draw(roundSeed);
@@ -80,13 +84,16 @@
         return print(rounds, folder);
     }
 
-    /** Prints each play of each round as it ends, and the sum. A round that fails to be played ends no other one. */
+    /**
+     * Prints each play of each round, in the order of the seeds, and the totals; returns the exit code. A round that
+     * ends with an error counts as such, and the others go on.
+     */
     private int print(List<Future<List<ShutdownReport>>> rounds, Path folder) throws InterruptedException {
         ShutdownTotals totals = new ShutdownTotals();
         long roundSeed = seed;
-        for (Future<List<ShutdownReport>> each : rounds) {
+        for (Future<List<ShutdownReport>> round : rounds) {
             try {
-                List<ShutdownReport> plays = each.get();
+                List<ShutdownReport> plays = round.get();
                 plays.forEach(ShutdownCommand::print);
                 totals.add(plays);
             } catch (ExecutionException e) {
@@ -96,7 +103,7 @@
             roundSeed++;
         }
         System.out.println(count + " rounds from seed " + seed + ": " + totals + "; logs in " + folder);
-        return totals.hasPassed() ? 0 : FAILED;
+        return totals.hasPassed() ? 0 : FAILURE;
     }
 
     private static void print(ShutdownReport report) {
