--- a/core/src/main/java/portrelay/admission/AdmissionController.java
+++ b/core/src/main/java/portrelay/admission/AdmissionController.java
@@ -70,7 +70,7 @@
     /**
      * Creates a controller with an empty queue.
      *
-     * @param maxRetryAfter the longest Retry-After that clients observe, in seconds; 0 if they observe none
+     * @param maxRetryAfter the longest Retry-After that clients honour, in seconds; 0 if they honour none
      * @param seed seed of the jitter of Retry-After times
      */
     public AdmissionController(AdmissionConfig config, double maxRetryAfter, long seed, AdmissionActions actions) {
--- a/core/src/main/java/portrelay/admission/ConnectionCapacity.java
+++ b/core/src/main/java/portrelay/admission/ConnectionCapacity.java
@@ -60,7 +60,7 @@
         private double phaseSince;
     }
 
-    /** In a rule by age alone. */
+    /** The share in a rule that depends on the age of a connection alone. */
     private static final double NO_SHARE_LIMIT = Double.POSITIVE_INFINITY;
     /** The peak of connections that await a response covers the last second, in windows of this length. */
     private static final double PEAK_WINDOW_SECONDS = 0.25;
--- a/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
+++ b/core/src/main/java/portrelay/admission/RetryAfterScheduler.java
@@ -9,7 +9,7 @@
 /**
  * Chooses Retry-After times, each a reservation that a later request of the flow can redeem. The times of a flow are
  * spaced by its share of the admission rate, with jitter so that no two coincide. A request that comes at a reserved
- * time is queued at the front of its flow. No time beyond the longest Retry-After that clients observe is reserved, as
+ * time is queued at the front of its flow. No time beyond the longest Retry-After that clients honour is reserved, as
  * clients would not keep it.
  */
 final class RetryAfterScheduler {
@@ -45,7 +45,7 @@
     /**
      * Creates a scheduler without reservations.
      *
-     * @param maxRetryAfter the longest Retry-After that clients observe, in seconds; 0 if they observe none
+     * @param maxRetryAfter the longest Retry-After that clients honour, in seconds; 0 if they honour none
      * @param maxReservations maximum number of open reservations of all flows together
      */
     RetryAfterScheduler(SplittableRandom random, double maxRetryAfter, int maxReservations) {
--- a/core/src/main/java/portrelay/discovery/WatchCalls.java
+++ b/core/src/main/java/portrelay/discovery/WatchCalls.java
@@ -7,8 +7,8 @@
  * Manages the outstanding calls to discovery, their waits and their timeouts. A call either fetches the complete
  * endpoint list at once or watches it, in which case discovery holds the call until there is an update. After a call
  * that failed or timed out, new ones begin often enough for an update to be read within 6 s of discovery becoming
- * reachable. As discovery serves the calls of all sidecars in turn, no call is abandoned, which would lose its place in
- * that queue, sooner than needed. The backoff after a failure is defined by {@code DiscoveryRules}.
+ * reachable. Discovery serves the calls of all sidecars in turn, and an abandoned call loses its place in that queue;
+ * so no call is abandoned sooner than needed. The backoff after a failure is defined by {@code DiscoveryRules}.
  */
 public final class WatchCalls {
 
--- a/core/src/main/java/portrelay/gossip/PeerMembership.java
+++ b/core/src/main/java/portrelay/gossip/PeerMembership.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * A report from another sidecar.
+     * A report from a peer.
      *
      * @param event the reported event
      * @param code the upstream's position in the subset, or {@link #upstreamCode} by rendezvous; -1 for LOST
@@ -49,7 +49,7 @@
     /** Interval between two zone queries while too few members are known. */
     private static final double URGENT_QUERY_INTERVAL_SECONDS = 0.05;
 
-    /** Interval otherwise. This is the mean: each sidecar has an interval of its own, to keep the queries apart. */
+    /** Mean interval otherwise; each sidecar has an interval of its own, so that their queries are spread over time. */
     private static final double QUERY_INTERVAL_SECONDS = 10;
     /** After this many unanswered queries, all sidecars have probably just started and none can answer. */
     private static final int UNANSWERED_BEFORE_BROADCAST = 2;
@@ -99,12 +99,12 @@
 
     // ---- Members ----------------------------------------------------------------------------------------
 
-    /** Sets the other sidecars that use the same subset, to which attempt events are sent. */
+    /** Sets the peers that use the same subset, to which attempt events are sent. */
     public void setSubsetPeers(List<Integer> sidecars) {
         subsetPeers = sidecars;
     }
 
-    /** Whether other sidecars may report attempts at the upstreams of this sidecar. */
+    /** Whether peers may report attempts at the upstreams of this sidecar. */
     public boolean hasSubsetPeers() {
         return topology.usesRendezvousSubsets() || !subsetPeers.isEmpty();
     }
@@ -126,7 +126,7 @@
         return changed;
     }
 
-    /** Asks another sidecar for all zones if a query is due; varies the sidecar from one query to the next. */
+    /** Asks a peer for all zones if a query is due; varies the peer from one query to the next. */
     public void advance(double now) {
         if (now < nextQueryAt || topology.usesRendezvousSubsets()) {
             return;
@@ -201,7 +201,7 @@
 
     // ---- Receiving --------------------------------------------------------------------------------------
 
-    /** Returns the time of the last message from another sidecar, of any kind; the start time if there was none. */
+    /** Returns the time of the last message from a peer, of any kind; the start time if there was none. */
     public double lastReceivedAt() {
         return lastReceivedAt;
     }
--- a/core/src/main/java/portrelay/gossip/PeerMessage.java
+++ b/core/src/main/java/portrelay/gossip/PeerMessage.java
@@ -1,6 +1,6 @@
 package portrelay.gossip;
 
-/** A message from another sidecar, as decoded by {@link PeerMessageCodec}. */
+/** A message from a peer, as decoded by {@link PeerMessageCodec}. */
 sealed interface PeerMessage permits PeerMessage.Hello, PeerMessage.Zones, PeerMembership.AttemptReport {
 
     /** The code of the sender's zone, and whether the sender asks for the zones of all members. */
--- a/core/src/main/java/portrelay/gossip/package-info.java
+++ b/core/src/main/java/portrelay/gossip/package-info.java
@@ -6,11 +6,11 @@
  * depends on the wire format.
  *
  * <p>Messages are UDP datagrams: they may be lost, late, duplicated or forged, so nothing depends on the arrival of a
- * single message, and a malformed one is ignored. Each message is charged to its sidecar, so data that can be derived
+ * single message, and a malformed one is ignored. Each sidecar is charged for its messages, so data that can be derived
  * is not sent.
  *
  * <p>The types are pure state machines without a clock, a socket or a thread; their owner calls them on the event
- * loop's thread. The package may depend on {@code portrelay.model}. Times and durations are seconds as {@code double}
- * on the event loop's clock.
+ * loop's thread. Depends on {@code portrelay.model} only. Times and durations are seconds as {@code double} on the
+ * event loop's clock.
  */
 package portrelay.gossip;
--- a/core/src/main/java/portrelay/lease/Proposer.java
+++ b/core/src/main/java/portrelay/lease/Proposer.java
@@ -78,7 +78,7 @@
                 failures);
     }
 
-    /** Ends the round with the lease, after a majority has accepted. A renewed lease keeps its token. */
+    /** Ends a round that won the lease, after a majority has accepted. A renewed lease keeps its token. */
     Proposer won(double now, LeaseTerms terms) {
         return new Proposer(
                 Phase.IDLE,
--- a/core/src/main/java/portrelay/lease/Replica.java
+++ b/core/src/main/java/portrelay/lease/Replica.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The part of one process in one lease: if its peer is one of the voters, it votes and tries to hold the lease.
- * Immutable; each event returns the next state and the messages to send. No two processes hold the lease at the same
- * time as long as no clock drifts by more than the terms allow.
+ * The state of one process with respect to one lease: if the peer of the process is a voter, the process votes and
+ * tries to hold the lease. Immutable; each event returns the next state and the messages to send. No two processes hold
+ * the lease at the same time as long as no clock drifts by more than the terms allow.
  *
  * <p>Before each action that requires the lease the process has to read its clock anew and check {@link #holds}. As it
  * may be stopped between the check and the action, the resource that the action changes has to check the {@link #token}
@@ -102,7 +102,7 @@
 
     /**
      * Returns this replica with other voters, for example after a configuration reload. An accepted proposal and a held
-     * lease stay; a round in progress is abandoned, as its votes were for another majority.
+     * lease are kept; a round in progress is abandoned, as its votes were for another majority.
      *
      * @throws IllegalArgumentException if the two sets differ by more than one voter
      */
@@ -145,7 +145,9 @@
         return new Step(with(isOwnRound ? observed.giveUp(now, jitter, terms) : observed), List.of());
     }
 
-    /** Sends a message to every other voter; this process's own acceptor handles it, and its vote counts, at once. */
+    /**
+     * Sends a message to every other voter; this process's own acceptor handles it at once, and its reply is applied.
+     */
     private Step toAll(LeaseMessage message, double now, double jitter) {
         List<Outgoing> out = new ArrayList<>();
         for (int voter : voters.voters()) {
--- a/core/src/main/java/portrelay/lease/package-info.java
+++ b/core/src/main/java/portrelay/lease/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Majority leases without persistent storage, based on PaxosLease (Trencseni, Gazso and Reinhardt, 2012). A
- * {@link portrelay.lease.Replica} is the part of one process in one lease. It consists of an
+ * {@link portrelay.lease.Replica} is the state of one process with respect to one lease. It consists of an
  * {@link portrelay.lease.Acceptor}, which votes, and a {@link portrelay.lease.Proposer}, which tries to hold the lease.
  * docs/design/leases.md has the assumptions and the proof.
  *
--- a/core/src/main/java/portrelay/model/AdaptiveLimit.java
+++ b/core/src/main/java/portrelay/model/AdaptiveLimit.java
@@ -78,8 +78,8 @@
     public void attemptEnded(double now, double sentAt, boolean isLate, boolean countsForFleet) {
         boolean wasReached = inFlight-- + 1 > limit;
         wasReachedInRound |= wasReached;
-        // Initially the fleet's capacity is unknown: each prompt outcome at the limit increases it, until the first
-        // decrease.
+        // Initially the fleet's capacity is unknown: each prompt outcome while the limit is reached increases the
+        // limit, until the first decrease.
         if (isStarting && wasReached && !isLate) {
             limit += increment;
         }
--- a/core/src/main/java/portrelay/model/IdleConnectionAge.java
+++ b/core/src/main/java/portrelay/model/IdleConnectionAge.java
@@ -13,7 +13,7 @@
     /** Connections are replaced once their idle time is above this share of the second smallest known age. */
     private static final double REPLACE_AGE_SHARE = 0.95;
 
-    /** A lost connection whose age adds no information is reported only after this interval. */
+    /** A lost connection whose age adds no information is reported only if the last report is older than this. */
     private static final double BROADCAST_INTERVAL_SECONDS = 1;
 
     /** The idle times, in seconds, of the connections on which requests were lost. */
--- a/core/src/main/java/portrelay/model/LoadBalancerActions.java
+++ b/core/src/main/java/portrelay/model/LoadBalancerActions.java
@@ -14,7 +14,7 @@
     void cancelAttempt(RequestId request, int attempt);
 
     /**
-     * Sends the client a final answer which says that it may repeat the request without a second effect.
+     * Sends the client a final answer, which says that the client may repeat the request without a second effect.
      *
      * @param retryAfter seconds after which the client should retry; 0 for no Retry-After
      */
--- a/core/src/main/java/portrelay/model/WakeUp.java
+++ b/core/src/main/java/portrelay/model/WakeUp.java
@@ -7,7 +7,7 @@
 
     private double pendingAt = Double.POSITIVE_INFINITY;
 
-    /** Records that the decider runs at this time; a pending wake-up that is due has fired. */
+    /** Records that the decider runs at this time; a pending wake-up that is due by then counts as fired. */
     public void fired(double now) {
         pendingAt = now >= pendingAt ? Double.POSITIVE_INFINITY : pendingAt;
     }
--- a/core/src/main/java/portrelay/policy/LatencyObjectiveCheck.java
+++ b/core/src/main/java/portrelay/policy/LatencyObjectiveCheck.java
@@ -5,10 +5,10 @@
 /** Checks whether a request can still be served within its latency objective. */
 final class LatencyObjectiveCheck {
 
-    /** Share of the allowed time that a tenant's requests keep, however far the tenant exceeds its tenant share. */
+    /** Share of the allowed time that a tenant's requests keep, however far the tenant exceeds its allotted share. */
     private static final double MIN_TENANT_FACTOR = 0.7;
 
-    /** The remaining share of the allowed time; a tenant keeps less of it the further it exceeds its tenant share. */
+    /** The remaining share of the allowed time; a tenant keeps less of it the further it exceeds its allotted share. */
     private static final double VARIABLE_TENANT_FACTOR = 0.3;
 
     private final LatencyTracker latencies;
@@ -24,7 +24,7 @@
      * Prevents queues in which every answer is late.
      *
      * @param latencyRatio the expected latency as a multiple of the typical latency
-     * @param objectiveShare the share for a tenant that does not exceed its tenant share
+     * @param objectiveShare the share for a tenant that does not exceed its allotted share
      */
     boolean isExpectedToMeet(OpenRequest request, double latencyRatio, double objectiveShare, double nowSeconds) {
         double shareFactor = tenantUsage.shareFactor(request.arrival.tenant());
--- a/core/src/main/java/portrelay/policy/LimitFeedback.java
+++ b/core/src/main/java/portrelay/policy/LimitFeedback.java
@@ -29,8 +29,8 @@
         if (isServed && !isLate) {
             upstream.promptSendTimes.add(nowSeconds, attempt.sentAt);
         }
-        // If no sidecar has had an answer from this upstream since, the upstream is unresponsive and the fleet is not
-        // overloaded.
+        // If no sidecar has had an answer from this upstream since the attempt was sent, the upstream is unresponsive,
+        // which does not show that the fleet is overloaded.
         boolean isUnresponsive = !isServed && upstream.peerInFlight.unansweredSince(attempt.sentAt);
         boolean isSlowUpstream = latencies.latencyRatio(upstream, nowSeconds) >= LatencyTracker.SLOW_LATENCY_RATIO;
         boolean reflectsFleetLoad = isUpstreamWarm && !isUnresponsive && !isSlowUpstream;
--- a/core/src/main/java/portrelay/policy/LoadEstimator.java
+++ b/core/src/main/java/portrelay/policy/LoadEstimator.java
@@ -6,7 +6,10 @@
 /** Estimates the load of upstreams from probes, from peer reports, or from this sidecar's own attempts alone. */
 final class LoadEstimator {
 
-    /** The load is unknown if the oldest attempt has been in flight for longer and none was served since it started. */
+    /**
+     * The load of an upstream is unknown if its oldest attempt has been in flight for longer than this, and no attempt
+     * was served since that one started.
+     */
     private static final double MAX_UNANSWERED_SECONDS = 0.3;
 
     /** A load report older than two probe timeouts no longer shows the current load. */
@@ -49,7 +52,9 @@
         return isFleetLoadKnown;
     }
 
-    /** Returns the mean attempts in flight per core over the fleet, as recent lists show it; 0 if they do not. */
+    /**
+     * Returns the mean number of attempts in flight per core over the fleet; 0 if recent endpoint lists do not show it.
+     */
     double meanLoadPerCore() {
         return meanLoadPerCore;
     }
--- a/core/src/main/java/portrelay/policy/LoadProbes.java
+++ b/core/src/main/java/portrelay/policy/LoadProbes.java
@@ -48,7 +48,9 @@
         this.random = random;
     }
 
-    /** Counts a round that begins for the request. Once an attempt has been sent, no further round may follow it. */
+    /**
+     * Counts a round that begins for the request. A round that begins after an attempt was sent counts as the last one.
+     */
     void countRound(OpenRequest request) {
         request.probeRounds = request.attempts.isEmpty() ? request.probeRounds + 1 : MAX_ROUNDS;
     }
--- a/core/src/main/java/portrelay/policy/PendingRequestQueue.java
+++ b/core/src/main/java/portrelay/policy/PendingRequestQueue.java
@@ -52,7 +52,9 @@
         return requests.isEmpty();
     }
 
-    /** Whether a request in the queue still waits; others remain in it until they are removed. */
+    /**
+     * Whether any request in the queue is still in the state QUEUED; others stay until {@link #removeNoLongerQueued}.
+     */
     boolean hasQueued() {
         return requests.stream().anyMatch(each -> each.state() == RequestState.QUEUED);
     }
@@ -66,7 +68,7 @@
         return highest;
     }
 
-    /** Returns the priority weight per second of typical latency, reduced if the tenant exceeds its tenant share. */
+    /** Returns the priority weight per second of typical latency, reduced if the tenant exceeds its allotted share. */
     private double priority(OpenRequest request) {
         return request.requestClass.priorityWeight()
                 / latencies.typicalSeconds(request.requestClass, TYPICAL_LATENCY_PRIOR_SECONDS)
--- a/core/src/main/java/portrelay/policy/Subset.java
+++ b/core/src/main/java/portrelay/policy/Subset.java
@@ -15,7 +15,8 @@
  * is computed from the endpoint list and the members known by gossip, or by rendezvous hashing. Each sidecar computes
  * only its own subset.
  *
- * <p>Inactive before {@link #start}, and where sidecars share no load. While inactive it contains every upstream.
+ * <p>The subset is inactive before {@link #start}, and permanently if sidecars share no load. While inactive it
+ * contains every upstream.
  */
 final class Subset {
 
--- a/core/src/main/java/portrelay/policy/UpstreamState.java
+++ b/core/src/main/java/portrelay/policy/UpstreamState.java
@@ -37,10 +37,10 @@
     double capacity;
 
     final LoadWeight loadWeight = new LoadWeight(WEIGHT_SAMPLES);
-    /** The time at which an operator last enabled it again; 0 if never. */
+    /** The time at which an operator last enabled the upstream again; 0 if never. */
     double enabledAt;
 
-    /** Whether nothing has been sent to it since an operator enabled it again; it then gets a trial request. */
+    /** Whether no attempt was sent to the upstream since an operator enabled it; if so, it gets a trial request. */
     boolean isUntriedSinceEnabled;
 
     // Attempts of this sidecar.
@@ -49,7 +49,10 @@
     int inFlightOnIdleConnections;
 
     double lastServedAt = Double.NEGATIVE_INFINITY;
-    /** Number of attempts, including fractions, that it may get now while it is warming up; see {@link SlowStart}. */
+    /**
+     * Number of attempts, including fractions, that the upstream may get now if it is warming up; see
+     * {@link SlowStart}.
+     */
     double slowStartCredit;
 
     // Outlier detection. Attempts sent before observedSince are ignored.
@@ -58,7 +61,7 @@
     double failureEvidence;
     double ejectedUntil;
     boolean isTrialInFlight;
-    /** Duration ratios of the attempts of all sidecars that share it; see {@link LatencyTracker}. */
+    /** Duration ratios of the attempts of all sidecars that share the upstream; see {@link LatencyTracker}. */
     final Samples durationRatios = new Samples(LATENCY_SAMPLES);
     /** Latency ratios of the attempts of this sidecar; see {@link LatencyTracker}. */
     final Samples latencyRatios = new Samples(LATENCY_SAMPLES);
@@ -67,7 +70,7 @@
 
     // Load, as known from peers and probes.
     final PeerInFlight peerInFlight;
-    /** The sidecars that use it, if rendezvous hashing chooses them; null until they are chosen. */
+    /** The sidecars that use the upstream, if rendezvous hashing chooses them; null until they are chosen. */
     List<Integer> sharingSidecars;
     /** Attempts in flight as the last probe reported, plus the attempts that this sidecar has sent since. */
     double reportedInFlight;
@@ -89,12 +92,12 @@
         peerInFlight.clear();
     }
 
-    /** Whether it is ejected, and gets only trial requests while other upstreams are available. */
+    /** Whether the upstream is ejected, and gets only trial requests while other upstreams are available. */
     boolean isEjected() {
         return hedgesLost >= HEDGE_LOSSES_TO_EJECT || failureEvidence >= EJECTION_EVIDENCE;
     }
 
-    /** Whether it is ejected and its next trial request is due. */
+    /** Whether the upstream is ejected and its next trial request is due. */
     boolean isTrialDue(double nowSeconds) {
         return isEjected() && nowSeconds >= ejectedUntil;
     }
--- a/core/src/main/java/portrelay/policy/package-info.java
+++ b/core/src/main/java/portrelay/policy/package-info.java
@@ -5,7 +5,7 @@
  *
  * <p>Times are seconds as {@code double} on the caller's clock; the time of an event is passed down as
  * {@code nowSeconds}. The package is not thread-safe and expects a single calling thread; no call blocks. All random
- * draws come from one seeded generator, so that the same sequence of events gives the same decisions. The package
- * depends on {@code portrelay.model} and {@code portrelay.gossip} only.
+ * draws come from one seeded generator, so that the same sequence of events gives the same decisions. Depends on
+ * {@code portrelay.model} and {@code portrelay.gossip} only.
  */
 package portrelay.policy;
--- a/core/src/main/java/portrelay/settings/Settings.java
+++ b/core/src/main/java/portrelay/settings/Settings.java
@@ -137,7 +137,7 @@
 
     // ---- Limits and topology ----------------------------------------------------------------------------
 
-    /** Returns the place of this sidecar in its fleet, as the settings define it. */
+    /** Returns the position of this sidecar in its fleet, as the settings define it. */
     public Topology topology() {
         return config.topology();
     }
@@ -152,7 +152,7 @@
         return streamsPerConnection;
     }
 
-    /** Returns the longest Retry-After, in seconds, that clients observe; 0 if they observe none. */
+    /** Returns the longest Retry-After, in seconds, that clients honour; 0 if they honour none. */
     public double maxRetryAfter() {
         return config.attemptRules().maxRetryAfter();
     }
--- a/core/src/main/java/portrelay/settings/package-info.java
+++ b/core/src/main/java/portrelay/settings/package-info.java
@@ -6,6 +6,6 @@
  *
  * <p>Trees consist of maps, lists, strings, doubles and booleans, as a JSON parser returns them, and are never changed.
  * Durations are microseconds in the files, and seconds as {@code double} here and everywhere else. All types except
- * {@code Migration} are immutable. May depend on {@code portrelay.model} and {@code portrelay.policy} only.
+ * {@code Migration} are immutable. Depends on {@code portrelay.model} and {@code portrelay.policy} only.
  */
 package portrelay.settings;
--- a/core/src/main/java/portrelay/shutdown/ShutdownBudget.java
+++ b/core/src/main/java/portrelay/shutdown/ShutdownBudget.java
@@ -23,7 +23,10 @@
     /** The platform routes new connections here for up to 0.4 s after SIGTERM. */
     private static final double LISTEN_SECONDS = 0.55;
 
-    /** Longer than {@link #LISTEN_SECONDS}: a connection that the kernel completes last is served too. */
+    /**
+     * Longer than {@link #LISTEN_SECONDS}: a connection that the kernel completes just before listening ends is served
+     * too.
+     */
     private static final double STAY_SECONDS = 0.7;
 
     /**
--- a/core/src/main/java/portrelay/shutdown/package-info.java
+++ b/core/src/main/java/portrelay/shutdown/package-info.java
@@ -4,7 +4,7 @@
  * decisions, {@link portrelay.shutdown.ShutdownBudget} holds the times, and {@link portrelay.shutdown.ShutdownActions}
  * are the steps that the process carries out.
  *
- * <p>Uses no clock, socket or thread: the owner makes all calls on the event loop's thread. May depend on
+ * <p>Uses no clock, socket or thread: the owner makes all calls on the event loop's thread. Depends on
  * {@code portrelay.model} only. Times and durations are seconds as {@code double} on the event loop's monotonic clock.
  */
 package portrelay.shutdown;
--- a/core/src/test/java/portrelay/gossip/PeerInFlightTest.java
+++ b/core/src/test/java/portrelay/gossip/PeerInFlightTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests the attempts in flight by reports of peers that are lost, late, duplicated or from before a restart. */
+/** Tests the count of attempts in flight if reports of peers are lost, late, duplicated or from before a restart. */
 class PeerInFlightTest {
 
     private static final double MAX_AGE_SECONDS = 2.7;
--- a/core/src/test/java/portrelay/lease/LeaseWorld.java
+++ b/core/src/test/java/portrelay/lease/LeaseWorld.java
@@ -257,7 +257,7 @@
 
     /**
      * Returns this state without parts that have no effect, which keeps the state space small: replies to past rounds,
-     * ballot numbers that a node saw that is not a candidate, and rejections, each of which is equivalent to a lost
+     * ballot numbers seen by a node that is not a candidate, and rejections, each of which is equivalent to a lost
      * message and a timeout of the round.
      */
     private LeaseWorld pruned() {
--- a/core/src/test/java/portrelay/policy/FleetSimulation.java
+++ b/core/src/test/java/portrelay/policy/FleetSimulation.java
@@ -40,7 +40,7 @@
         private final double[] coreFreeAt = new double[CORES];
 
         boolean isUnresponsive;
-        /** When the process started; 0 where it is warm. */
+        /** When the process started; 0 if it is warm. */
         double startedAt;
         /** Attempts received since the counts were last reset. */
         int sentCount;
@@ -87,7 +87,7 @@
         /**
          * Returns by how many attempts the fullest overload window of the rule exceeded the bound N + 2 * sqrt(N) + 2,
          * where N is the number that overloads the warming-up cores in that time and the rest allows for random
-         * variation; at most 0 where the bound held.
+         * variation; at most 0 if the bound held.
          */
         double overloadExcess(SlowStartRule rule) {
             double excess = Double.NEGATIVE_INFINITY;
@@ -106,7 +106,7 @@
             return excess;
         }
 
-        /** The share of its full capacity that the server has at a time; 1 where it is warm. */
+        /** The share of its full capacity that the server has at a time; 1 if it is warm. */
         double capacityShare(SlowStartRule rule, double time) {
             double warmUpShare = Math.min(1, Math.max(0, time - startedAt) / rule.warmUpTime());
             return startedAt <= 0 ? 1 : rule.initialShare() + (1 - rule.initialShare()) * warmUpShare;
@@ -149,7 +149,7 @@
     double maxDelaySeconds = 0.01;
     /** Requests whose first answer has arrived, since the counts were last reset. */
     int servedCount;
-    /** The request rate of each sidecar relative to the mean rate; null where all have the mean rate. */
+    /** The request rate of each sidecar relative to the mean rate; null if all have the mean rate. */
     double[] relativeRates;
 
     FleetSimulation(long seed, int sidecarCount, int upstreamCount) {
--- a/core/src/test/java/portrelay/policy/FleetSimulationTest.java
+++ b/core/src/test/java/portrelay/policy/FleetSimulationTest.java
@@ -10,7 +10,9 @@
 import portrelay.model.Topology;
 import portrelay.model.UpstreamId;
 
-/** Tests behaviour that is harmless in one sidecar and harmful in all of them: many load balancers in virtual time. */
+/**
+ * Tests many load balancers in virtual time, for behaviour that is harmless in one sidecar but harmful in all at once.
+ */
 class FleetSimulationTest {
 
     private static final int SIDECARS = 14;
@@ -32,7 +34,9 @@
         assertTrue(fleet.servedCount > 0.97 * fleet.arrivalCount(), fleet.servedCount + " of " + fleet.arrivalCount());
     }
 
-    /** Guards against one datagram for each peer in small fleets, and against counting an own broadcast twice. */
+    /**
+     * Guards against one datagram for each peer in small fleets, and against counting a sidecar's own broadcast twice.
+     */
     @Test
     void broadcastReplacesSingleMessagesAndItsSenderCountsItOnce() {
         LoadBalancerHarness harness = new LoadBalancerHarness(
--- a/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerHarness.java
@@ -62,7 +62,7 @@
     /** A message to one peer, or to {@link #ALL_SIDECARS}. */
     record Message(int to, String text) {}
 
-    /** An attempt that was sent or cancelled at a time; the upstream is null where it was cancelled. */
+    /** An attempt that was sent or cancelled at a time; the upstream is null if it was cancelled. */
     record SentAttempt(RequestId request, int index, UpstreamId upstream, double time) {}
 
     final List<SentAttempt> sent = new ArrayList<>();
--- a/core/src/test/java/portrelay/policy/LoadBalancerTest.java
+++ b/core/src/test/java/portrelay/policy/LoadBalancerTest.java
@@ -53,7 +53,7 @@
                 harness.advance(0.05);
                 harness.attemptEnds(first, Outcome.SERVED);
             }
-            // Long enough for latencies to be forgotten, so that the losses to hedges alone decide.
+            // Longer than latency samples count, so that the losses to hedges alone decide.
             harness.advance(lossesToHedges < 5 ? 6 : 0.01);
         }
         long before = firstAttemptsTo(0);
--- a/core/src/test/java/portrelay/policy/SharedLoadTest.java
+++ b/core/src/test/java/portrelay/policy/SharedLoadTest.java
@@ -61,7 +61,7 @@
                 harness.requestArrives("on" + lost + i, LoadBalancerHarness.UNSAFE, 2);
                 harness.attemptEnds(harness.lastSent(), Outcome.SERVED);
             }
-            // Peers of the same subset are still served at each upstream of it.
+            // Peers are still served at each upstream of the subset.
             String startMessage = harness.messages.stream()
                     .map(LoadBalancerHarness.Message::text)
                     .filter(t -> t.length() == 2)
@@ -177,14 +177,17 @@
         assertTrue(sentToLoaded < 60, sentToLoaded + " of 300 requests sent to the upstream with three in flight");
     }
 
-    /** Guards against requests that are late half of the time because they fit on average (amman-main overload). */
+    /**
+     * Guards against admitting requests whose expected latency just meets the objective, of which half are then late
+     * (amman-main overload).
+     */
     @Test
     void requestsNeedMoreSlackWithinTheObjectiveWhereTheFleetIsLoaded() {
         assertEquals(0, rejectedOfSixAtWeights(1, 1, 1), "rejected though the fleet is not loaded");
         assertTrue(rejectedOfSixAtWeights(0.25, 0.25, 0.25) > 0, "none rejected though the fleet is loaded");
     }
 
-    /** The number of rejected requests, of six at once, where three upstreams are listed with these weights. */
+    /** Returns how many of six simultaneous requests are rejected if three upstreams are listed with these weights. */
     private static int rejectedOfSixAtWeights(double... weights) {
         LoadBalancerHarness harness = new LoadBalancerHarness(5, LoadBalancerHarness.sharingLoad(0, 0));
         harness.listReady(3);
@@ -234,7 +237,8 @@
                     endpoint.zone(),
                     endpoint.instanceType()));
         }
-        // Upstreams 0 and 2 have one type: 0 is idle and listed at its capacity, 2 has two in flight and a third of it.
+        // Upstreams 0 and 2 have the same instance type: 0 is idle and listed at its capacity; 2 has two attempts in
+        // flight and is listed at a third of it.
         restarted.loadBalancer.endpointsUpdated(restarted.now, EndpointUpdate.CACHED, endpoints);
         Set<UpstreamId> used = new HashSet<>();
         for (int i = 0; i < 3; i++) {
--- a/core/src/test/java/portrelay/policy/SlowStartSumTest.java
+++ b/core/src/test/java/portrelay/policy/SlowStartSumTest.java
@@ -23,7 +23,7 @@
     private static final SlowStartRule RULE = LoadBalancerHarness.SLOW_START;
     private static final double RUN_SECONDS = 5;
 
-    /** What happens two seconds after the restart of one upstream, or of more where a scenario says so. */
+    /** What happens two seconds after the restart of one upstream, or of more if a scenario says so. */
     private enum Scenario {
         /** Nothing. */
         CALM,
@@ -48,7 +48,7 @@
     /**
      * The result of one run.
      *
-     * @param excess attempts above the bound; at most 0 where it held
+     * @param excess attempts above the bound; at most 0 if it held
      * @param capacityUsed the share that is used of the capacity of a warming-up upstream
      * @param servedShare the share of the requests that were served
      */
--- a/core/src/test/java/portrelay/policy/UpstreamSelectorTest.java
+++ b/core/src/test/java/portrelay/policy/UpstreamSelectorTest.java
@@ -126,8 +126,9 @@
     }
 
     /**
-     * Two answers at 4 times the typical latency make 3 times expected there, against 2 + 1 and 3 + 1 times where all
-     * others are busy.
+     * With two answers at 4 times the typical latency, the idle upstream is expected to take 3 times that latency, as
+     * the prior counts as one sample at the typical latency. The busy ones are expected to take 2 + 1 times it with two
+     * attempts in flight, and 3 + 1 times it with three.
      */
     @Test
     void idleSlowUpstreamIsUsedWhereItIsExpectedToAnswerSooner() {
