--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -35,11 +35,14 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.net.lifecycle.WarmUp;
 
-/** docs/crossings.md, "Shutdown" and "Hand-overs": what comes just as a process is told to end. */
+/**
+ * Requests, handovers and reloads that coincide with the shutdown of a process; see docs/crossings.md, "Shutdown" and
+ * "Hand-overs".
+ */
 @Timeout(40)
 class ConnectionEndCrossingsTest {
 
-    /** Does not end while a test lasts. */
+    /** A warm-up that outlasts every test. */
     private static final WarmUp.Length ENDLESS = new WarmUp.Length(Integer.MAX_VALUE, 60);
 
     @TempDir
@@ -51,16 +54,16 @@
         return drain;
     }
 
-    /** Returns when the drain has posted its tasks to the loop, and waits for the end. */
+    /** Returns once the drain has posted its tasks to the loop and waits for them. */
     private static void awaitPosted(Thread drain) {
         long until = System.nanoTime() + 5_000_000_000L;
         while (!Arrays.toString(drain.getStackTrace()).contains("CountDownLatch.await")) {
-            assertTrue(System.nanoTime() < until, "the drain does not begin");
+            assertTrue(System.nanoTime() < until, "the drain does not begin within 5 s");
             Thread.onSpinWait();
         }
     }
 
-    private static double since(long start) {
+    private static double secondsSince(long start) {
         return (System.nanoTime() - start) / 1e9;
     }
 
@@ -74,80 +77,80 @@
     }
 
     private static Socket connect(InetSocketAddress to) throws IOException {
-        Socket s = new Socket(to.getAddress(), to.getPort());
-        s.setSoTimeout(8000);
-        return s;
+        Socket client = new Socket(to.getAddress(), to.getPort());
+        client.setSoTimeout(8000);
+        return client;
     }
 
-    private static void await(String what, ByteArrayOutputStream log) throws Exception {
+    private static void awaitLogged(String text, ByteArrayOutputStream log) throws Exception {
         long until = System.nanoTime() + 5_000_000_000L;
-        while (!log.toString(ISO_8859_1).contains(what)) {
-            assertTrue(System.nanoTime() < until, "no " + what + " in " + log.toString(ISO_8859_1));
+        while (!log.toString(ISO_8859_1).contains(text)) {
+            assertTrue(System.nanoTime() < until, "no " + text + " in " + log.toString(ISO_8859_1));
             Thread.onSpinWait();
         }
     }
 
-    // ---- Told to end before it is ready -----------------------------------------------------------------
+    // ---- Shutdown before the end of the warm-up ---------------------------------------------------------
 
     @Test
-    void aRequestToAProcessThatIsNotWarmYetIsAnsweredAllTheSame() throws Exception {
+    void aShutdownDuringTheWarmUpAnswersTheOpenRequest() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(SILENT)) {
-            Sidecar cold =
+            Sidecar sidecar =
                     Sidecar.open(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(log, true), null, ENDLESS);
-            try (Socket client = connect(cold.address());
-                    Socket looks = connect(cold.address())) {
+            try (Socket client = connect(sidecar.address());
+                    Socket readinessClient = connect(sidecar.address())) {
                 client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
-                Thread drain = drain(cold);
-                await("draining", log);
+                Thread drain = drain(sidecar);
+                awaitLogged("draining", log);
                 answer("200 OK", "u").play(null, upstream.accepted.get(0));
                 assertEquals(200, Message.read(client.getInputStream()).status());
                 assertEquals(
                         503,
-                        SidecarFixture.ask(looks, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                        SidecarFixture.ask(readinessClient, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                                 .status());
                 client.close();
-                looks.close();
+                readinessClient.close();
                 drain.join();
-                assertFalse(log.toString(ISO_8859_1).contains("ready: listen="), "it said that it serves");
+                assertFalse(log.toString(ISO_8859_1).contains("ready: listen="), "logged that it is ready");
             } finally {
-                cold.close();
+                sidecar.close();
             }
         }
     }
 
-    /** The warm-up's end and the drain are met in one turn of the loop. */
+    /** The end of the warm-up and the drain are due in one iteration of the loop. */
     @Test
-    void aProcessThatGetsWarmAsItIsToldToEndDoesNotSayThatItServes() throws Exception {
+    void aWarmUpThatEndsDuringTheShutdownDoesNotReportReady() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(SILENT)) {
-            Sidecar cold = Sidecar.open(
+            Sidecar sidecar = Sidecar.open(
                     config(discovery, upstream, "127.0.0.1:0"),
                     new PrintStream(log, true),
                     dir,
                     new WarmUp.Length(Integer.MAX_VALUE, 2.5));
             long opened = System.nanoTime();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(cold.loop)) {
-                drain = drain(cold);
+            try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+                drain = drain(sidecar);
                 awaitPosted(drain);
-                while (since(opened) < 2.7) {
+                while (secondsSince(opened) < 2.7) {
                     Thread.onSpinWait();
                 }
                 held.letGo();
             }
-            cold.awaitReady();
+            sidecar.awaitReady();
             drain.join();
-            cold.close();
-            String said = log.toString(ISO_8859_1);
-            assertTrue(said.contains("draining") && !said.contains("ready: listen="), said);
+            sidecar.close();
+            String logged = log.toString(ISO_8859_1);
+            assertTrue(logged.contains("draining") && !logged.contains("ready: listen="), logged);
         }
     }
 
-    /** With a process and a signal; guards against a shutdown hook that is added only after the warm-up. */
+    /** Guards against a shutdown hook that is added only after the warm-up; sends SIGTERM to a process of its own. */
     @Test
     void sigtermDuringTheWarmUpLosesNoRequest() throws Exception {
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
@@ -175,27 +178,27 @@
                             file.toString())
                     .redirectErrorStream(true)
                     .start();
-            try (Socket client = soon(port)) {
+            try (Socket client = connectOnceListening(port)) {
                 client.setSoTimeout(8000);
                 client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
                 new ProcessBuilder("kill", "-TERM", "" + serve.pid()).start().waitFor();
-                Message got = Message.read(client.getInputStream());
-                assertNotNull(got, "the request was lost");
-                assertEquals(502, got.status());
+                Message response = Message.read(client.getInputStream());
+                assertNotNull(response, "the request was lost at SIGTERM");
+                assertEquals(502, response.status());
             } finally {
-                assertTrue(serve.waitFor(10, TimeUnit.SECONDS), "does not end");
+                assertTrue(serve.waitFor(10, TimeUnit.SECONDS), "the process does not end within 10 s");
             }
         }
     }
 
-    private static Socket soon(int port) throws Exception {
+    private static Socket connectOnceListening(int port) throws Exception {
         long until = System.nanoTime() + 20_000_000_000L;
         while (true) {
             try {
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
-                assertTrue(System.nanoTime() < until, "nobody listens");
+                assertTrue(System.nanoTime() < until, "no process listens within 20 s");
                 Thread.sleep(2);
             }
         }
@@ -203,7 +206,7 @@
 
     // ---- The listen queue -------------------------------------------------------------------------------
 
-    /** The request lies in the listen queue when the listener closes. */
+    /** Guards against losing a request that is in the listen queue when the listener closes. */
     @Test
     void aClientInTheListenQueueWhenTheListenerClosesIsServed() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(answer("200 OK", "u"))) {
@@ -220,15 +223,15 @@
                 late = testbed.connect();
                 late.getOutputStream().write(SidecarFixture.read("late", 900).getBytes(ISO_8859_1));
                 HeldEventLoop.unread(late, SidecarFixture.read("late", 900).length());
-                // The timer that closes the listener is due in the turn of the loop that finds the connection.
-                while (since(start) < 0.6) {
+                // The timer that closes the listener is due in the loop iteration that finds the connection.
+                while (secondsSince(start) < 0.6) {
                     Thread.onSpinWait();
                 }
                 held.letGo();
             }
-            Message got = Message.read(late.getInputStream());
-            assertNotNull(got, "closed unread");
-            assertEquals(200, got.status());
+            Message response = Message.read(late.getInputStream());
+            assertNotNull(response, "the connection was closed with its request unread");
+            assertEquals(200, response.status());
             late.close();
             open.close();
             drain.join();
@@ -236,52 +239,52 @@
     }
 
     @Test
-    void aClientInTheListenQueueAtAHandoverIsServed() throws Exception {
+    void clientsInTheListenQueueAtAHandoverAreAnswered() throws Exception {
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
-            PrintStream none = new PrintStream(OutputStream.nullOutputStream());
-            Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
-            String at = SocketAddresses.text(old.address());
-            Sidecar next = Sidecar.start(config(discovery, upstream, at), none, dir);
+            PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
+            Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
+            String address = SocketAddresses.text(predecessor.address());
+            Sidecar successor = Sidecar.start(config(discovery, upstream, address), discardedLog, dir);
             List<Socket> clients = new ArrayList<>();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(old.loop)) {
-                // The kernel gives each of the two some of them.
+            try (HeldEventLoop held = new HeldEventLoop(predecessor.loop)) {
+                // The kernel distributes them over both processes.
                 for (int i = 0; i < 40; i++) {
-                    Socket one = connect(old.address());
-                    clients.add(one);
-                    one.getOutputStream()
+                    Socket client = connect(predecessor.address());
+                    clients.add(client);
+                    client.getOutputStream()
                             .write(SidecarFixture.read("q" + i, 2000).getBytes(ISO_8859_1));
                 }
-                drain = drain(old);
+                drain = drain(predecessor);
                 awaitPosted(drain);
                 held.letGo();
             }
-            for (Socket each : clients) {
-                Message got = Message.read(each.getInputStream());
-                assertNotNull(got, "closed unread");
-                // So many at once that some may be rejected.
-                assertTrue(got.status() == 200 || got.status() == 429, "status " + got.status());
-                each.close();
+            for (Socket client : clients) {
+                Message response = Message.read(client.getInputStream());
+                assertNotNull(response, "the connection was closed with its request unread");
+                // Of so many concurrent requests some may be rejected.
+                assertTrue(response.status() == 200 || response.status() == 429, "status " + response.status());
+                client.close();
             }
             drain.join();
-            old.close();
-            next.close();
+            predecessor.close();
+            successor.close();
         }
     }
 
-    // ---- Deadlines behind the process's end -------------------------------------------------------------
+    // ---- Deadlines after the end of the process ---------------------------------------------------------
 
-    /** A deadline of 8 s, of which SIGKILL leaves 3 s. */
+    /** Guards against requests lost at SIGKILL, which leaves 3 s of their 8 s. */
     @Test
-    void aRequestWhoseDeadlineIsBehindTheProcessesEndIsAnswered() throws Exception {
+    void aRequestWhoseDeadlineIsAfterTheProcessEndIsAnsweredBeforeIt() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(
                 1024, "{}", config -> config.replace("limit-us\":1000000", "limit-us\":8000000"), SILENT)) {
-            Socket one = testbed.connect();
-            one.getOutputStream().write(SidecarFixture.issue("a", 8000).getBytes(ISO_8859_1));
+            Socket complete = testbed.connect();
+            complete.getOutputStream().write(SidecarFixture.issue("a", 8000).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
-            Socket half = testbed.connect();
-            half.getOutputStream()
+            Socket partial = testbed.connect();
+            partial.getOutputStream()
                     .write((SidecarFixture.head("POST /issue/x", "b", "issue", 8000) + "Content-Length: 100000\r\n\r\n"
                                     + "y".repeat(70_000))
                             .getBytes(ISO_8859_1));
@@ -289,23 +292,23 @@
             long start = System.nanoTime();
             Thread drain = drain(testbed.sidecar);
             awaitPosted(drain);
-            // Accepted with its last byte, and that comes after the signal.
-            half.getOutputStream().write("y".repeat(30_000).getBytes(ISO_8859_1));
-            for (Socket each : List.of(one, half)) {
-                Message got = Message.read(each.getInputStream());
-                assertNotNull(got, "lost at SIGKILL");
-                assertEquals(502, got.status());
-                // Due after 3.6 s.
-                assertTrue(since(start) < 4, "answered after SIGKILL");
+            // The request is accepted with its last byte, which is sent after the signal.
+            partial.getOutputStream().write("y".repeat(30_000).getBytes(ISO_8859_1));
+            for (Socket client : List.of(complete, partial)) {
+                Message response = Message.read(client.getInputStream());
+                assertNotNull(response, "the request was lost at SIGKILL");
+                assertEquals(502, response.status());
+                // The answer is due after 3.6 s.
+                assertTrue(secondsSince(start) < 4, "answered after SIGKILL");
             }
             drain.join();
-            assertTrue(since(start) < 4.1, "ended after SIGKILL");
+            assertTrue(secondsSince(start) < 4.1, "the process ended after SIGKILL");
         }
     }
 
-    /** Guards against a shutdown budget that counts from when the loop gets to the signal, not from the signal. */
+    /** Guards against a shutdown budget that counts from when the loop handles the signal, not from the signal. */
     @Test
-    void aLateLoopTakesNoTimeFromRequestsThatAreStillToBeAnswered() throws Exception {
+    void theShutdownBudgetCountsFromTheSignalWhenTheEventLoopIsLate() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT)) {
             Socket open = testbed.connect();
             long start;
@@ -314,167 +317,176 @@
                 open.getOutputStream().write(SidecarFixture.issue("a", 2000).getBytes(ISO_8859_1));
                 start = System.nanoTime();
                 drain = drain(testbed.sidecar);
-                // As a process that gets no CPU: the loop comes to the signal so late.
-                while (since(start) < 1.3) {
+                // Like a process that gets no CPU time: the loop handles the signal 1.3 s late.
+                while (secondsSince(start) < 1.3) {
                     Thread.onSpinWait();
                 }
                 held.letGo();
             }
             int status = Message.read(open.getInputStream()).status();
-            // The late turn may find that forwarding is over before it reads the request: then it was never sent.
+            // The late iteration may end forwarding before it reads the request, which is then never sent.
             assertTrue(status == 502 || status == 429 && testbed.sent() == 0, "answered " + status);
-            // The longest deadline is 1 s: due after 1.6 s, after 2.3 s if it counted from the turn.
-            assertTrue(since(start) < 1.95, "answered after SIGKILL: " + since(start));
+            // The longest deadline is 1 s: due after 1.6 s, or after 2.3 s if the budget counted from the iteration.
+            assertTrue(secondsSince(start) < 1.95, "answered after SIGKILL: " + secondsSince(start));
             open.close();
             drain.join();
-            assertTrue(since(start) < 2.1, "ended after SIGKILL");
+            assertTrue(secondsSince(start) < 2.1, "the process ended after SIGKILL");
         }
     }
 
-    // ---- Several at once --------------------------------------------------------------------------------
+    // ---- Concurrent shutdowns, reloads and handovers ----------------------------------------------------
 
     @Test
-    void toldToEndTwiceAndWithANewConfigurationItEndsOnceAndAnswers() throws Exception {
+    void twoDrainsAndAReloadEndTheProcessAndTheOpenRequestIsAnswered() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(SILENT);
                 ScriptedServer second = new ScriptedServer(SILENT)) {
             Socket open = testbed.connect();
             open.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
-            Thread once = drain(testbed.sidecar);
+            Thread firstDrain = drain(testbed.sidecar);
             testbed.reload(second.address());
-            Thread twice = drain(testbed.sidecar);
+            Thread secondDrain = drain(testbed.sidecar);
             assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
             answer("200 OK", "u").play(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(open.getInputStream()).status());
             open.close();
-            once.join(3000);
-            twice.join(3000);
-            assertFalse(once.isAlive() || twice.isAlive(), "does not end");
+            firstDrain.join(3000);
+            secondDrain.join(3000);
+            assertFalse(firstDrain.isAlive() || secondDrain.isAlive(), "a drain does not end within 3 s");
         }
     }
 
-    /** Guards against a handover to a process that ends too. */
+    /** Guards against a handover to a process that is shutting down too. */
     @Test
-    void whereBothProcessesEndNeitherHandsOver() throws Exception {
-        ByteArrayOutputStream oldLog = new ByteArrayOutputStream();
-        ByteArrayOutputStream nextLog = new ByteArrayOutputStream();
+    void aProcessDoesNotHandOverToOneThatIsShuttingDown() throws Exception {
+        ByteArrayOutputStream predecessorLog = new ByteArrayOutputStream();
+        ByteArrayOutputStream successorLog = new ByteArrayOutputStream();
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
-            Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(oldLog, true), dir);
-            Sidecar next = Sidecar.start(
-                    config(discovery, upstream, SocketAddresses.text(old.address())),
-                    new PrintStream(nextLog, true),
+            Sidecar predecessor = Sidecar.start(
+                    config(discovery, upstream, "127.0.0.1:0"), new PrintStream(predecessorLog, true), dir);
+            Sidecar successor = Sidecar.start(
+                    config(discovery, upstream, SocketAddresses.text(predecessor.address())),
+                    new PrintStream(successorLog, true),
                     dir);
-            Thread ends;
-            try (HeldEventLoop held = new HeldEventLoop(next.loop)) {
-                ends = drain(next);
-                // Its file says so before its loop has got to it.
-                awaitEnding();
-                Thread drain = drain(old);
-                await("draining", oldLog);
+            Thread successorDrain;
+            try (HeldEventLoop held = new HeldEventLoop(successor.loop)) {
+                successorDrain = drain(successor);
+                // Its state file says that it ends before its loop handles the shutdown.
+                awaitEndingState();
+                Thread drain = drain(predecessor);
+                awaitLogged("draining", predecessorLog);
                 held.letGo();
                 drain.join();
             }
-            ends.join();
-            assertFalse(oldLog.toString(ISO_8859_1).contains("handing over"), oldLog.toString(ISO_8859_1));
-            old.close();
-            next.close();
+            successorDrain.join();
+            assertFalse(
+                    predecessorLog.toString(ISO_8859_1).contains("handing over"), predecessorLog.toString(ISO_8859_1));
+            predecessor.close();
+            successor.close();
         }
     }
 
-    private void awaitEnding() throws Exception {
+    private void awaitEndingState() throws Exception {
         long until = System.nanoTime() + 5_000_000_000L;
         while (true) {
             try (var files = Files.list(dir)) {
-                for (Path each :
+                for (Path stateFile :
                         files.filter(f -> f.toString().endsWith(".state")).toList()) {
-                    if (Files.readString(each).contains("\"ending\" : true")) {
+                    if (Files.readString(stateFile).contains("\"ending\" : true")) {
                         return;
                     }
                 }
             }
-            assertTrue(System.nanoTime() < until, "no state file says that its process ends");
+            assertTrue(System.nanoTime() < until, "no state file says within 5 s that its process ends");
         }
     }
 
     @Test
-    void aSuccessorThatIsToldToEndBeforeItListensEndsAtOnceAndTheOldOneServes() throws Exception {
+    void aSuccessorDrainedBeforeItListensEndsAtOnceAndThePredecessorServes() throws Exception {
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
-            PrintStream none = new PrintStream(OutputStream.nullOutputStream());
-            Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
-            Sidecar next =
-                    Sidecar.open(config(discovery, upstream, SocketAddresses.text(old.address())), none, dir, ENDLESS);
+            PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
+            Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
+            Sidecar successor = Sidecar.open(
+                    config(discovery, upstream, SocketAddresses.text(predecessor.address())),
+                    discardedLog,
+                    dir,
+                    ENDLESS);
             long start = System.nanoTime();
-            next.drain();
-            assertTrue(since(start) < 0.6, "waits for nobody");
-            next.close();
+            successor.drain();
+            assertTrue(secondsSince(start) < 0.6, "the drain waits although there is no client");
+            successor.close();
             for (int i = 0; i < 20; i++) {
-                try (Socket client = connect(old.address())) {
+                try (Socket client = connect(predecessor.address())) {
                     assertEquals(
                             200,
                             SidecarFixture.ask(client, SidecarFixture.read("q" + i, 900))
                                     .status());
                 }
             }
-            old.close();
+            predecessor.close();
         }
     }
 
-    /** The serving process dies while its successor warms up; guards against nobody listening until that is over. */
+    /** Guards against no process listening when the serving one dies while its successor is still warming up. */
     @Test
-    void aSuccessorThatIsNotWarmYetServesWhenTheOtherHasDied() throws Exception {
+    void aSuccessorThatIsStillWarmingUpServesOnceThePredecessorHasDied() throws Exception {
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
-            PrintStream none = new PrintStream(OutputStream.nullOutputStream());
-            Sidecar old = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), none, dir);
-            InetSocketAddress at = old.address();
-            Sidecar next = Sidecar.open(config(discovery, upstream, SocketAddresses.text(at)), none, dir, ENDLESS);
-            old.close();
-            Message got = null;
-            for (int i = 0; got == null; i++) {
-                // The old one's listener may still be there for a moment, with nobody behind it.
-                try (Socket client = soon(at.getPort())) {
+            PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
+            Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
+            InetSocketAddress address = predecessor.address();
+            Sidecar successor = Sidecar.open(
+                    config(discovery, upstream, SocketAddresses.text(address)), discardedLog, dir, ENDLESS);
+            predecessor.close();
+            Message response = null;
+            for (int i = 0; response == null; i++) {
+                // The predecessor's listener may stay open for a moment although no process accepts from it.
+                try (Socket client = connectOnceListening(address.getPort())) {
                     client.setSoTimeout(5000);
-                    got = SidecarFixture.ask(client, SidecarFixture.read("a" + i, 900));
-                    if (got != null) {
+                    response = SidecarFixture.ask(client, SidecarFixture.read("a" + i, 900));
+                    if (response != null) {
                         String up = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
                         assertEquals(503, SidecarFixture.ask(client, up).status());
                     }
                 } catch (SocketException e) {
-                    // Reset with it.
+                    // The connection was reset with the closed listener.
                 }
             }
-            assertEquals(200, got.status());
-            next.close();
+            assertEquals(200, response.status());
+            successor.close();
         }
     }
 
-    // ---- Other sidecars' files in the folder ------------------------------------------------------------
+    // ---- Files of other sidecars in the handover directory ----------------------------------------------
 
-    /** Files are named by the name's hash; guards against two customers' sidecars of one name taken for one. */
+    /**
+     * Guards against taking the sidecars of two customers for one: their state files are found by the hash of the
+     * sidecar's name, which is the same.
+     */
     @Test
-    void anotherCustomersSidecarOfTheSameNameIsAStranger() throws Exception {
+    void anUnrelatedSidecarOfTheSameNameIsNotTakenForASibling() throws Exception {
         ByteArrayOutputStream ourLog = new ByteArrayOutputStream();
         ByteArrayOutputStream theirLog = new ByteArrayOutputStream();
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             Sidecar ours =
                     Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(ourLog, true), dir);
-            assertEquals(200, call(ours, "PUT /control/upstreams/s-0/offline"));
-            assertEquals(200, call(ours, "PUT /control/out-of-service"));
-            // At another address, and at ours with no request class in common.
+            assertEquals(200, operatorCall(ours, "PUT /control/upstreams/s-0/offline"));
+            assertEquals(200, operatorCall(ours, "PUT /control/out-of-service"));
+            // One at another address, and one at our address with no request class in common.
             SidecarConfig elsewhere = config(discovery, upstream, "127.0.0.1:0");
             String other = SidecarFixture.config(discovery.address(), "{\"seq\":1,\"hosts\":[]}", 512)
                     .replace("127.0.0.1:0\",\"mgmt", SocketAddresses.text(ours.address()) + "\",\"mgmt")
                     .replace("\"read\"", "\"level\"")
                     .replace("\"save\"", "\"valve\"")
                     .replace("\"issue\"", "\"dose\"");
-            for (SidecarConfig each : List.of(elsewhere, SidecarConfig.parse(other.getBytes(UTF_8)))) {
-                Sidecar theirs = Sidecar.start(each, new PrintStream(theirLog, true), dir);
+            for (SidecarConfig theirConfig : List.of(elsewhere, SidecarConfig.parse(other.getBytes(UTF_8)))) {
+                Sidecar theirs = Sidecar.start(theirConfig, new PrintStream(theirLog, true), dir);
                 Thread.sleep(600);
                 try (Socket client = connect(theirs.address())) {
-                    if (each.equals(elsewhere)) {
+                    if (theirConfig.equals(elsewhere)) {
                         assertEquals(
                                 200,
                                 SidecarFixture.ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -483,7 +495,7 @@
                                 200,
                                 SidecarFixture.ask(client, SidecarFixture.read("a", 900))
                                         .status(),
-                                "disabled by another sidecar");
+                                "the upstream was disabled by another sidecar");
                     }
                 }
                 Thread drain = drain(theirs);
@@ -493,43 +505,44 @@
             ours.drain();
             ours.close();
             String all = ourLog.toString(ISO_8859_1) + theirLog.toString(ISO_8859_1);
-            for (String each : List.of("sibling", "handing over", "successor")) {
-                assertFalse(all.contains(each), all);
+            for (String text : List.of("sibling", "handing over", "successor")) {
+                assertFalse(all.contains(text), all);
             }
         }
     }
 
-    /** A half-written file of a killed process is deleted with its other files, and never read. */
+    /** A partly written file of a killed process is deleted with its other files and never read. */
     @Test
-    void whatAProcessLeftThatDiedBetweenTwoFilesIsCleanedUp() throws Exception {
+    void filesOfAProcessKilledWhileWritingItsStateAreDeleted() throws Exception {
         try (ScriptedServer discovery = new ScriptedServer(SILENT);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             String prefix = "portrelay-" + Long.toHexString(portrelay.model.Hash.of("t")) + "-";
             Files.write(dir.resolve(prefix + "3.lock"), new byte[0]);
             Files.writeString(dir.resolve(prefix + "3.tmp"), "{\"form\":1,\"na");
             Files.setLastModifiedTime(dir.resolve(prefix + "3.lock"), FileTime.fromMillis(1));
-            Sidecar one = Sidecar.start(
+            Sidecar sidecar = Sidecar.start(
                     config(discovery, upstream, "127.0.0.1:0"), new PrintStream(OutputStream.nullOutputStream()), dir);
             try (var left = Files.list(dir)) {
-                String its = prefix + "3.";
+                String killedPrefix = prefix + "3.";
                 assertEquals(
                         0,
-                        left.filter(f -> f.getFileName().toString().startsWith(its))
+                        left.filter(f -> f.getFileName().toString().startsWith(killedPrefix))
                                 .count());
             }
-            try (Socket client = connect(one.address())) {
+            try (Socket client = connect(sidecar.address())) {
                 assertEquals(
                         200,
                         SidecarFixture.ask(client, SidecarFixture.read("a", 900))
                                 .status());
             }
-            one.close();
+            sidecar.close();
         }
     }
 
-    private static int call(Sidecar sidecar, String line) throws IOException {
-        try (Socket s = connect(sidecar.adminAddress())) {
-            return SidecarFixture.ask(s, line + " HTTP/1.1\r\nHost: a\r\n\r\n").status();
+    private static int operatorCall(Sidecar sidecar, String line) throws IOException {
+        try (Socket client = connect(sidecar.adminAddress())) {
+            return SidecarFixture.ask(client, line + " HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .status();
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/HandoverNetTest.java
+++ b/daemon/src/test/java/portrelay/net/HandoverNetTest.java
@@ -45,21 +45,21 @@
     Path dir;
 
     private SidecarFixture.ScriptedServer discovery;
-    private SidecarFixture.ScriptedServer first;
-    private SidecarFixture.ScriptedServer second;
+    private SidecarFixture.ScriptedServer firstUpstream;
+    private SidecarFixture.ScriptedServer secondUpstream;
 
     @BeforeEach
     void open() throws Exception {
         LogManager.getLogManager().reset();
         discovery = new SidecarFixture.ScriptedServer(SidecarFixture.SILENT);
-        first = new SidecarFixture.ScriptedServer(answer("200 OK", "u"));
-        second = new SidecarFixture.ScriptedServer(answer("200 OK", "v"));
+        firstUpstream = new SidecarFixture.ScriptedServer(answer("200 OK", "u"));
+        secondUpstream = new SidecarFixture.ScriptedServer(answer("200 OK", "v"));
     }
 
     @AfterEach
     void close() throws Exception {
-        for (SidecarFixture.ScriptedServer each : List.of(discovery, first, second)) {
-            each.close();
+        for (SidecarFixture.ScriptedServer server : List.of(discovery, firstUpstream, secondUpstream)) {
+            server.close();
         }
     }
 
@@ -69,8 +69,8 @@
 
     private Sidecar start(String listen, OutputStream log, int sockets) throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", first.address(), "SERVING") + ","
-                + SidecarFixture.host("s-1", second.address(), "SERVING") + "]}";
+                + SidecarFixture.host("s-0", firstUpstream.address(), "SERVING") + ","
+                + SidecarFixture.host("s-1", secondUpstream.address(), "SERVING") + "]}";
         String json = SidecarFixture.config(discovery.address(), list, sockets)
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + listen + "\"");
         return Sidecar.start(SidecarConfig.parse(json.getBytes(UTF_8)), new PrintStream(log), dir);
@@ -80,35 +80,35 @@
         return start(listen, OutputStream.nullOutputStream());
     }
 
-    private static String at(Sidecar sidecar) {
+    private static String addressOf(Sidecar sidecar) {
         return SocketAddresses.text(sidecar.address());
     }
 
-    private static Message say(InetSocketAddress to, String bytes) throws IOException {
+    private static Message exchange(InetSocketAddress to, String bytes) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             socket.setSoTimeout(5000);
             return SidecarFixture.ask(socket, bytes);
         }
     }
 
-    private static int call(Sidecar sidecar, String line) throws IOException {
-        return say(sidecar.adminAddress(), line + " HTTP/1.1\r\nHost: a\r\n\r\n")
+    private static int operatorCall(Sidecar sidecar, String line) throws IOException {
+        return exchange(sidecar.adminAddress(), line + " HTTP/1.1\r\nHost: a\r\n\r\n")
                 .status();
     }
 
-    private static void await(String what, Callable<Boolean> is) throws Exception {
+    private static void await(String failure, Callable<Boolean> condition) throws Exception {
         long until = System.nanoTime() + 3_000_000_000L;
-        while (!is.call()) {
-            assertTrue(System.nanoTime() < until, what);
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < until, failure);
             Thread.sleep(10);
         }
     }
 
-    /** Of twenty connections in a row the kernel gives some to each process. */
-    private static void awaitAll(String what, Sidecar at, int status) throws Exception {
-        await(what, () -> {
+    /** Waits until 20 requests in a row get the status; the kernel gives some of their connections to each process. */
+    private static void awaitAll(String failure, Sidecar sidecar, int status) throws Exception {
+        await(failure, () -> {
             for (int i = 0; i < 20; i++) {
-                if (say(at.address(), SidecarFixture.read("n" + System.nanoTime(), 900))
+                if (exchange(sidecar.address(), SidecarFixture.read("n" + System.nanoTime(), 900))
                                 .status()
                         != status) {
                     return false;
@@ -118,19 +118,21 @@
         });
     }
 
-    private static boolean inService(Sidecar sidecar) throws Exception {
-        return say(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200;
+    private static boolean isInService(Sidecar sidecar) throws Exception {
+        return exchange(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                        .status()
+                == 200;
     }
 
     /**
-     * A request without its answer 200.
+     * A request that was not answered with 200.
      *
-     * @param cause the status that came instead, or the error of the connection
+     * @param cause the other status, or the error of the connection
      */
     private record FailedRequest(String cause, long sentAt, long endedAt) {
 
-        /** With its times after the drain began, in seconds. */
-        String line(long drainBegan) {
+        /** Returns the cause with the times in seconds after the drain began. */
+        String describe(long drainBegan) {
             return String.format(
                     Locale.ROOT,
                     "%s sent %+.4f ended %+.4f",
@@ -146,22 +148,23 @@
 
     @Test
     void noRequestFailsWhileASuccessorReplacesTheProcess() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
-        InetSocketAddress address = old.address();
-        AtomicBoolean over = new AtomicBoolean();
-        AtomicInteger arrival = new AtomicInteger();
+        Sidecar predecessor = start("127.0.0.1:0");
+        InetSocketAddress address = predecessor.address();
+        AtomicBoolean stopped = new AtomicBoolean();
+        AtomicInteger requestCount = new AtomicInteger();
         Queue<FailedRequest> failed = new ConcurrentLinkedQueue<>();
         Thread[] clients = new Thread[4];
         for (int i = 0; i < clients.length; i++) {
-            int me = i;
+            int clientIndex = i;
             clients[i] = new Thread(() -> {
-                while (!over.get()) {
+                while (!stopped.get()) {
                     long sentAt = System.nanoTime();
                     try {
-                        arrival.incrementAndGet();
-                        String id = "q" + me + "-" + arrival.get();
+                        requestCount.incrementAndGet();
+                        String id = "q" + clientIndex + "-" + requestCount.get();
                         assertEquals(
-                                200, say(address, SidecarFixture.read(id, 900)).status());
+                                200,
+                                exchange(address, SidecarFixture.read(id, 900)).status());
                         Thread.sleep(2);
                     } catch (Exception | AssertionError e) {
                         failed.add(new FailedRequest(e.toString(), sentAt, System.nanoTime()));
@@ -171,164 +174,177 @@
             clients[i].start();
         }
         Thread.sleep(200);
-        Sidecar next = start(at(old));
-        assertEquals(200, call(next, "GET /control/ready"));
+        Sidecar successor = start(addressOf(predecessor));
+        assertEquals(200, operatorCall(successor, "GET /control/ready"));
         long drainBegan = System.nanoTime();
-        old.drain();
+        predecessor.drain();
         double drained = FailedRequest.seconds(drainBegan, System.nanoTime());
-        old.close();
+        predecessor.close();
         Thread.sleep(200);
-        over.set(true);
-        for (Thread each : clients) {
-            each.join();
+        stopped.set(true);
+        for (Thread client : clients) {
+            client.join();
         }
-        next.close();
-        assertTrue(arrival.get() > 100, "too few to tell: " + arrival);
-        // The kernel resets a connection that comes between the last accept and the close of the listener.
+        successor.close();
+        assertTrue(requestCount.get() > 100, "too few requests for a result: " + requestCount);
+        // The kernel resets a connection that arrives between the last accept and the close of the listener.
         assertTrue(
                 failed.size() <= 1,
-                () -> failed.size() + " of " + arrival + " were failed; drain took " + drained + " s: "
-                        + failed.stream().map(each -> each.line(drainBegan)).toList());
+                () -> failed.size() + " of " + requestCount + " requests failed; the drain took " + drained + " s: "
+                        + failed.stream().map(each -> each.describe(drainBegan)).toList());
     }
 
     @Test
-    void persistentConnectionsMoveWithTheirNextAnswerAndIdleOnesAreClosed() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
-        try (Socket kept = new Socket(old.address().getAddress(), old.address().getPort());
-                Socket idle =
-                        new Socket(old.address().getAddress(), old.address().getPort())) {
-            kept.setSoTimeout(2000);
+    void theDrainClosesIdleConnectionsAndEndsWithItsLastClient() throws Exception {
+        Sidecar predecessor = start("127.0.0.1:0");
+        try (Socket open = new Socket(
+                        predecessor.address().getAddress(),
+                        predecessor.address().getPort());
+                Socket idle = new Socket(
+                        predecessor.address().getAddress(),
+                        predecessor.address().getPort())) {
+            open.setSoTimeout(2000);
             idle.setSoTimeout(2000);
             assertEquals(
-                    200, SidecarFixture.ask(kept, SidecarFixture.read("a", 900)).status());
+                    200, SidecarFixture.ask(open, SidecarFixture.read("a", 900)).status());
             assertEquals(
                     200, SidecarFixture.ask(idle, SidecarFixture.read("b", 900)).status());
-            Sidecar next = start(at(old));
-            Thread drain = new Thread(old::drain);
+            Sidecar successor = start(addressOf(predecessor));
+            Thread drain = new Thread(predecessor::drain);
             drain.start();
             Thread.sleep(20);
-            if (!kept.isClosed()) {
+            if (!open.isClosed()) {
                 assertEquals(-1, idle.getInputStream().read());
             }
             drain.join(1000);
-            assertFalse(drain.isAlive(), "did not end with its last client");
-            assertTrue(inService(next));
-            old.close();
-            next.close();
+            assertFalse(drain.isAlive(), "the drain did not end with its last client");
+            assertTrue(isInService(successor));
+            predecessor.close();
+            successor.close();
         }
     }
 
     @Test
-    void operatorsCallsHoldOverAnUpgradeAndAtBothProcessesMeanwhile() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
-        assertEquals(200, call(old, "PUT /control/upstreams/s-0/offline"));
-        assertEquals(200, call(old, "PUT /control/out-of-service"));
-        Sidecar next = start(at(old));
-        assertEquals(200, call(next, "GET /control/ready"));
-        // Both must answer so, as the kernel chooses between them.
+    void operatorCallsApplyAtBothProcessesAndAfterTheHandover() throws Exception {
+        Sidecar predecessor = start("127.0.0.1:0");
+        assertEquals(200, operatorCall(predecessor, "PUT /control/upstreams/s-0/offline"));
+        assertEquals(200, operatorCall(predecessor, "PUT /control/out-of-service"));
+        Sidecar successor = start(addressOf(predecessor));
+        assertEquals(200, operatorCall(successor, "GET /control/ready"));
+        // Both must answer this way, as the kernel chooses between them.
         for (int i = 0; i < 20; i++) {
-            assertFalse(inService(next));
+            assertFalse(isInService(successor));
         }
-        first.seen.clear();
+        firstUpstream.seen.clear();
         for (int i = 0; i < 60; i++) {
             assertEquals(
-                    200, say(old.address(), SidecarFixture.read("a" + i, 900)).status());
+                    200,
+                    exchange(predecessor.address(), SidecarFixture.read("a" + i, 900))
+                            .status());
         }
-        assertEquals(0, first.seen.size());
-        assertEquals(200, call(next, "PUT /control/in-service"));
-        await("the old one goes by the new one's call", () -> {
+        assertEquals(0, firstUpstream.seen.size());
+        assertEquals(200, operatorCall(successor, "PUT /control/in-service"));
+        await("the predecessor does not apply the successor's operator call within 3 s", () -> {
             for (int i = 0; i < 20; i++) {
-                if (!inService(next)) {
+                if (!isInService(successor)) {
                     return false;
                 }
             }
             return true;
         });
-        assertEquals(200, call(old, "PUT /control/upstreams/s-1/offline"));
-        awaitAll("with both disabled at both every request is rejected", next, 429);
-        assertEquals(200, call(next, "PUT /control/upstreams/s-1/online"));
-        awaitAll("and served again at both", next, 200);
-        first.seen.clear();
-        old.drain();
-        old.close();
+        assertEquals(200, operatorCall(predecessor, "PUT /control/upstreams/s-1/offline"));
+        awaitAll("with both upstreams disabled, not every request is rejected at both processes", successor, 429);
+        assertEquals(200, operatorCall(successor, "PUT /control/upstreams/s-1/online"));
+        awaitAll("with an upstream enabled again, not every request is served at both processes", successor, 200);
+        firstUpstream.seen.clear();
+        predecessor.drain();
+        predecessor.close();
         for (int i = 0; i < 40; i++) {
             assertEquals(
-                    200, say(next.address(), SidecarFixture.read("b" + i, 900)).status());
+                    200,
+                    exchange(successor.address(), SidecarFixture.read("b" + i, 900))
+                            .status());
         }
-        assertEquals(0, first.seen.size());
-        assertEquals(200, call(next, "PUT /control/upstreams/s-0/online"));
-        next.close();
-        Sidecar third = start(at(next));
-        await("back at the third", () -> {
-            say(third.address(), SidecarFixture.read("c" + System.nanoTime(), 900));
-            return first.seen.size() > 0;
+        assertEquals(0, firstUpstream.seen.size());
+        assertEquals(200, operatorCall(successor, "PUT /control/upstreams/s-0/online"));
+        successor.close();
+        Sidecar third = start(addressOf(successor));
+        await("the enabled upstream gets no request from the third process", () -> {
+            exchange(third.address(), SidecarFixture.read("c" + System.nanoTime(), 900));
+            return firstUpstream.seen.size() > 0;
         });
         third.close();
     }
 
     @Test
-    void anIdThatOnlyThePredecessorSawListedCanBeDisabled() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
+    void anUpstreamListedOnlyForThePredecessorCanBeDisabledAtTheSuccessor() throws Exception {
+        Sidecar predecessor = start("127.0.0.1:0");
         discovery.next();
-        String gone = "{\"seq\":8,\"whole\":false,\"hosts\":[" + SidecarFixture.host("s-9", second.address(), "SERVING")
-                + "]}";
-        answer("200 OK", gone).play(null, discovery.accepted.get(0));
-        await("listed", () -> call(old, "PUT /control/upstreams/s-9/offline") == 200);
+        String update = "{\"seq\":8,\"whole\":false,\"hosts\":["
+                + SidecarFixture.host("s-9", secondUpstream.address(), "SERVING") + "]}";
+        answer("200 OK", update).play(null, discovery.accepted.get(0));
+        await(
+                "the upstream is not listed within 3 s",
+                () -> operatorCall(predecessor, "PUT /control/upstreams/s-9/offline") == 200);
         Thread.sleep(400);
-        Sidecar next = start(at(old));
-        assertEquals(200, call(next, "PUT /control/upstreams/s-9/offline"));
-        assertEquals(404, call(next, "PUT /control/upstreams/s-8/offline"));
-        old.close();
-        next.close();
+        Sidecar successor = start(addressOf(predecessor));
+        assertEquals(200, operatorCall(successor, "PUT /control/upstreams/s-9/offline"));
+        assertEquals(404, operatorCall(successor, "PUT /control/upstreams/s-8/offline"));
+        predecessor.close();
+        successor.close();
     }
 
     @Test
-    void withoutAServingSuccessorADrainTakesItsWholeTime() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
-        // The files of a process that was killed: it served, and its lock is free.
+    void withoutAServingSuccessorADrainTakesItsFullTime() throws Exception {
+        Sidecar predecessor = start("127.0.0.1:0");
+        // The files of a process that was killed while it served; its lock is free.
         String prefix = "portrelay-" + Long.toHexString(Hash.of("t")) + "-7.";
         Files.write(dir.resolve(prefix + "lock"), new byte[0]);
-        Path itsState;
+        Path predecessorState;
         try (Stream<Path> files = Files.list(dir)) {
-            itsState = files.filter(f -> f.toString().endsWith(".state"))
+            predecessorState = files.filter(f -> f.toString().endsWith(".state"))
                     .findFirst()
                     .orElseThrow();
         }
-        Files.copy(itsState, dir.resolve(prefix + "state"));
+        Files.copy(predecessorState, dir.resolve(prefix + "state"));
         long start = System.nanoTime();
-        Thread drain = new Thread(old::drain);
+        Thread drain = new Thread(predecessor::drain);
         drain.start();
         Thread.sleep(300);
-        // It goes on listening for half a second.
-        assertEquals(200, say(old.address(), SidecarFixture.read("a", 900)).status());
+        // Without a successor it listens for half a second more.
+        assertEquals(
+                200,
+                exchange(predecessor.address(), SidecarFixture.read("a", 900)).status());
         drain.join();
         assertTrue(System.nanoTime() - start > 0.69e9);
-        old.close();
+        predecessor.close();
     }
 
     @Test
-    void aTornForeignOrUnknownStateIsLoggedOnceAndIgnored() throws Exception {
+    void aTruncatedForeignOrUnknownStateFileIsLoggedOnceAndIgnored() throws Exception {
         String prefix = "portrelay-" + Long.toHexString(Hash.of("t")) + "-";
-        List<String> bad = List.of(
+        List<String> invalidStates = List.of(
                 "{\"form\":1,\"name\":\"t\",\"cal",
                 "{\"form\":2,\"name\":\"t\"}",
                 "{\"form\":1,\"name\":\"other\",\"out-of-service\":true,\"out-of-service-at\":9}",
                 "[]",
                 "",
                 "{\"form\":1,\"name\":\"t\",\"out-of-service\":true,\"out-of-service-at\":\"now\"}");
-        for (int i = 0; i < bad.size(); i++) {
+        for (int i = 0; i < invalidStates.size(); i++) {
             Files.write(dir.resolve(prefix + (i + 1) + ".lock"), new byte[0]);
-            Files.write(dir.resolve(prefix + (i + 1) + ".state"), bad.get(i).getBytes(UTF_8));
+            Files.write(
+                    dir.resolve(prefix + (i + 1) + ".state"),
+                    invalidStates.get(i).getBytes(UTF_8));
         }
         Files.write(dir.resolve(prefix + "x.lock"), new byte[0]);
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        Sidecar one = start("127.0.0.1:0", log);
-        assertTrue(inService(one));
+        Sidecar sidecar = start("127.0.0.1:0", log);
+        assertTrue(isInService(sidecar));
         Thread.sleep(700);
-        one.close();
+        sidecar.close();
         String text = log.toString(ISO_8859_1);
         assertEquals(
-                bad.size(),
+                invalidStates.size(),
                 text.lines()
                         .filter(each -> each.contains("handover state ignored: process="))
                         .count(),
@@ -337,45 +353,49 @@
 
     @Test
     void aSuccessorThatCannotListenLeavesThePredecessorServing() throws Exception {
-        Sidecar old = start("127.0.0.1:0");
+        Sidecar predecessor = start("127.0.0.1:0");
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            String there = "127.0.0.1:" + taken.getLocalPort();
-            String why = assertThrows(IOException.class, () -> start(there)).getMessage();
-            assertTrue(why.startsWith("listen"), why);
+            String takenAddress = "127.0.0.1:" + taken.getLocalPort();
+            String error =
+                    assertThrows(IOException.class, () -> start(takenAddress)).getMessage();
+            assertTrue(error.startsWith("listen"), error);
         }
-        assertTrue(inService(old));
-        assertEquals(200, say(old.address(), SidecarFixture.read("a", 900)).status());
-        old.close();
+        assertTrue(isInService(predecessor));
+        assertEquals(
+                200,
+                exchange(predecessor.address(), SidecarFixture.read("a", 900)).status());
+        predecessor.close();
     }
 
-    /** Guards against limits that stay halved once the sibling process is gone. */
+    /** Guards against connection limits that stay halved after the sibling process has ended. */
     @Test
-    void onceAloneASuccessorAcceptsAllClientsAgain() throws Exception {
-        OutputStream none = OutputStream.nullOutputStream();
-        Sidecar old = start("127.0.0.1:0", none, 128);
-        Sidecar next = start(at(old), none, 128);
-        old.drain();
-        old.close();
+    void aSuccessorAcceptsAllClientsOnceItsPredecessorHasEnded() throws Exception {
+        OutputStream discardedLog = OutputStream.nullOutputStream();
+        Sidecar predecessor = start("127.0.0.1:0", discardedLog, 128);
+        Sidecar successor = start(addressOf(predecessor), discardedLog, 128);
+        predecessor.drain();
+        predecessor.close();
         Thread.sleep(400);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            Socket one = new Socket(next.address().getAddress(), next.address().getPort());
-            one.setSoTimeout(1500);
-            clients.add(one);
+            Socket client = new Socket(
+                    successor.address().getAddress(), successor.address().getPort());
+            client.setSoTimeout(1500);
+            clients.add(client);
         }
         for (int i = 0; i < clients.size(); i++) {
             clients.get(i)
                     .getOutputStream()
                     .write(SidecarFixture.read("a" + i, 900).getBytes(ISO_8859_1));
         }
-        for (Socket each : clients) {
-            assertTrue(Message.read(each.getInputStream()).status() > 0);
-            assertTrue(!each.isClosed());
+        for (Socket client : clients) {
+            assertTrue(Message.read(client.getInputStream()).status() > 0);
+            assertTrue(!client.isClosed());
         }
-        for (Socket each : clients) {
-            each.close();
+        for (Socket client : clients) {
+            client.close();
         }
-        next.close();
+        successor.close();
     }
 
     @Test
@@ -391,11 +411,11 @@
     @Test
     void aMissingDirectoryIsLoggedAndDisablesHandoverOnly() throws Exception {
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        Path none = dir.resolve("none");
+        Path missing = dir.resolve("none");
         String json = SidecarFixture.config(discovery.address(), "{\"seq\":1,\"hosts\":[]}", 512);
-        Sidecar one = Sidecar.start(SidecarConfig.parse(json.getBytes(UTF_8)), new PrintStream(log), none);
-        assertTrue(inService(one));
-        one.close();
+        Sidecar sidecar = Sidecar.start(SidecarConfig.parse(json.getBytes(UTF_8)), new PrintStream(log), missing);
+        assertTrue(isInService(sidecar));
+        sidecar.close();
         assertTrue(log.toString(ISO_8859_1).contains("handover disabled: directory="));
     }
 }
--- a/daemon/src/test/java/portrelay/net/MigrateNetTest.java
+++ b/daemon/src/test/java/portrelay/net/MigrateNetTest.java
@@ -41,7 +41,7 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.policy.LoadBalancer;
 
-/** An old configuration migrated to a new shape serves on loopback. */
+/** Migrates old configurations to a new shape and serves with the result on loopback. */
 class MigrateNetTest {
 
     private static final List<Outcome> OUTCOMES = List.of(Outcome.values()).subList(0, 3);
@@ -50,73 +50,74 @@
             + "\"zone\":\"a\",\"discovery\":\"pushed\",\"weights\":\"live\","
             + "\"load-report\":{\"how\":\"piggyback\",\"columns\":[\"load_share\",\"tps\"]},"
             + "\"allowed\":{\"peers\":true,\"probes\":false,\"streams-per-conn\":100}}}";
-    private static final String NONE = "{\"seq\":1,\"hosts\":[]}";
+    private static final String NO_HOSTS = "{\"seq\":1,\"hosts\":[]}";
 
     @TempDir
     private Path folder;
 
     private String errors = "";
 
-    private int migrate(String... more) {
+    private int migrate(String... moreArguments) {
         String[] args = Stream.concat(
-                        Stream.of("migrate", "--config", at("old.json"), "--shape", at("shape.json")), Stream.of(more))
+                        Stream.of("migrate", "--config", path("old.json"), "--shape", path("shape.json")),
+                        Stream.of(moreArguments))
                 .toArray(String[]::new);
-        PrintStream before = System.err;
+        PrintStream originalErr = System.err;
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
         System.setErr(new PrintStream(logged, true, UTF_8));
         try {
             return Main.run("portrelay", Map.of(), args);
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
             errors = logged.toString(UTF_8);
         }
     }
 
-    private String at(String file) {
+    private String path(String file) {
         return folder.resolve(file).toString();
     }
 
-    private void files(String old, String shape) throws Exception {
+    private void writeInput(String old, String shape) throws Exception {
         Files.writeString(folder.resolve("old.json"), old);
         Files.writeString(folder.resolve("shape.json"), shape);
     }
 
-    private List<String> names() throws Exception {
+    private List<String> fileNames() throws Exception {
         try (var files = Files.list(folder)) {
             return files.map(each -> each.getFileName().toString()).sorted().toList();
         }
     }
 
     @Test
-    void theMigratedConfigurationServesAndWhatWasLeftOutIsNamed() throws Exception {
+    void theMigratedConfigurationServesAndOmittedSettingsAreReported() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(SidecarFixture.answer("200 OK", "here"));
-                ScriptedServer discovery = new ScriptedServer((message, on) -> {
+                ScriptedServer discovery = new ScriptedServer((message, socket) -> {
                     if (!message.first().contains("index=")) {
                         SidecarFixture.answer(
                                         "200 OK",
                                         "{\"seq\":9,\"whole\":true,\"hosts\":["
                                                 + SidecarFixture.host("s-0", upstreamAddress, "SERVING") + "]}")
-                                .play(message, on);
+                                .play(message, socket);
                     }
                 })) {
             upstreamAddress = upstream.address();
             String known = "{\"seq\":1,\"hosts\":[" + SidecarFixture.host("s-9", "127.0.0.1:1", "SERVING") + "]}";
             String old = SidecarFixture.config(discovery.address(), known, 256);
-            files(old.replace("\"siblings\":1", "\"siblings\":1,\"family-info\":{\"warm-keys\":false}"), SHAPE);
-            assertEquals(1, migrate("--out", at("new.json")));
+            writeInput(old.replace("\"siblings\":1", "\"siblings\":1,\"family-info\":{\"warm-keys\":false}"), SHAPE);
+            assertEquals(1, migrate("--out", path("new.json")));
             assertTrue(errors.contains("left out known:"), errors);
             assertTrue(errors.contains("left out settings.family-info:"), errors);
             assertTrue(errors.contains("not yet on sockets settings.allowed.peers:"), errors);
-            SidecarConfig made = SidecarConfig.parse(Files.readAllBytes(folder.resolve("new.json")));
-            assertEquals(57, made.settings().topology().sidecarCount());
-            assertEquals(100, made.settings().streamsPerConnection());
-            assertEquals(256, made.descriptorLimit());
-            assertTrue(Sidecar.check(made));
-            try (Sidecar sidecar = Sidecar.start(made, new PrintStream(OutputStream.nullOutputStream()))) {
+            SidecarConfig migrated = SidecarConfig.parse(Files.readAllBytes(folder.resolve("new.json")));
+            assertEquals(57, migrated.settings().topology().sidecarCount());
+            assertEquals(100, migrated.settings().streamsPerConnection());
+            assertEquals(256, migrated.descriptorLimit());
+            assertTrue(Sidecar.check(migrated));
+            try (Sidecar sidecar = Sidecar.start(migrated, new PrintStream(OutputStream.nullOutputStream()))) {
                 discovery.next();
                 discovery.next();
-                var at = sidecar.address();
-                try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+                var address = sidecar.address();
+                try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                     client.setSoTimeout(5000);
                     byte[] body = SidecarFixture.ask(client, SidecarFixture.read("a", 900))
                             .body();
@@ -130,109 +131,109 @@
 
     @Test
     void aCompleteMigrationExitsWithZero() throws Exception {
-        files(SidecarFixture.config("127.0.0.1:1", NONE, 256), SHAPE);
-        assertEquals(0, migrate("--out", at("new.json")));
+        writeInput(SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256), SHAPE);
+        assertEquals(0, migrate("--out", path("new.json")));
         assertFalse(errors.contains("left out"), errors);
     }
 
     @Test
     void aDryRunWritesNothing() throws Exception {
-        files(SidecarFixture.config("127.0.0.1:1", NONE, 256), SHAPE);
-        PrintStream before = System.out;
+        writeInput(SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256), SHAPE);
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed));
         try {
-            assertEquals(0, migrate("--out", at("new.json"), "--dry-run"));
+            assertEquals(0, migrate("--out", path("new.json"), "--dry-run"));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
-        assertEquals(List.of("old.json", "shape.json"), names());
+        assertEquals(List.of("old.json", "shape.json"), fileNames());
         assertEquals(
                 57,
                 SidecarConfig.parse(printed.toByteArray()).settings().topology().sidecarCount());
     }
 
     @Test
-    void invalidInputIsNamedInOneLineAndNothingIsWritten() throws Exception {
-        String old = SidecarFixture.config("127.0.0.1:1", NONE, 256);
-        refused("{", SHAPE, "the whole");
-        refused(old.replace("idempotency_key", "who knows"), SHAPE, "settings.classes[1].effect");
-        refused(old, "[1", "--shape");
-        refused(old, "{}", "settings");
-        refused(old, SHAPE.replace("\"zone\":\"a\"", "\"zone\":\"c\""), "settings.zone");
-        refused(old, SHAPE.replace("piggyback", "perhaps"), "settings.load-report.how");
-        refused(old, SHAPE.replace("\"live\"", "\"heavy\""), "settings.weights");
-        refused(old, SHAPE.replace("\"pushed\"", "\"guessed\""), "settings.discovery");
-        refused(old, SHAPE.replace("\"me\":3", "\"me\":57"), "settings.me");
-        refused(old, SHAPE.replace("\"me\":3", "\"me\":-1"), "settings.me");
-        refused(old, SHAPE.replace(":100", ":0"), "settings.allowed.streams-per-conn");
-        refused(old, SHAPE.replace("\"tps\"", "7"), "settings.load-report.columns[1]");
-        refused(old, SHAPE.replace("\"peers\"", "\"piers\""), "settings.allowed.piers");
-        refused(old, SHAPE.replace("\"siblings\":57", "\"classes\":[]"), "settings.classes");
+    void invalidInputIsReportedInOneLineAndNothingIsWritten() throws Exception {
+        String old = SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256);
+        assertRefused("{", SHAPE, "the whole");
+        assertRefused(old.replace("idempotency_key", "who knows"), SHAPE, "settings.classes[1].effect");
+        assertRefused(old, "[1", "--shape");
+        assertRefused(old, "{}", "settings");
+        assertRefused(old, SHAPE.replace("\"zone\":\"a\"", "\"zone\":\"c\""), "settings.zone");
+        assertRefused(old, SHAPE.replace("piggyback", "perhaps"), "settings.load-report.how");
+        assertRefused(old, SHAPE.replace("\"live\"", "\"heavy\""), "settings.weights");
+        assertRefused(old, SHAPE.replace("\"pushed\"", "\"guessed\""), "settings.discovery");
+        assertRefused(old, SHAPE.replace("\"me\":3", "\"me\":57"), "settings.me");
+        assertRefused(old, SHAPE.replace("\"me\":3", "\"me\":-1"), "settings.me");
+        assertRefused(old, SHAPE.replace(":100", ":0"), "settings.allowed.streams-per-conn");
+        assertRefused(old, SHAPE.replace("\"tps\"", "7"), "settings.load-report.columns[1]");
+        assertRefused(old, SHAPE.replace("\"peers\"", "\"piers\""), "settings.allowed.piers");
+        assertRefused(old, SHAPE.replace("\"siblings\":57", "\"classes\":[]"), "settings.classes");
         Files.delete(folder.resolve("shape.json"));
-        assertEquals(2, migrate("--out", at("new.json")));
-        assertEquals(List.of("old.json"), names());
+        assertEquals(2, migrate("--out", path("new.json")));
+        assertEquals(List.of("old.json"), fileNames());
     }
 
-    private void refused(String old, String shape, String place) throws Exception {
-        files(old, shape);
-        assertEquals(2, migrate("--out", at("new.json")), place);
-        assertTrue(errors.contains(place) && errors.lines().count() == 1, errors);
-        assertEquals(List.of("old.json", "shape.json"), names());
+    private void assertRefused(String old, String shape, String path) throws Exception {
+        writeInput(old, shape);
+        assertEquals(2, migrate("--out", path("new.json")), path);
+        assertTrue(errors.contains(path) && errors.lines().count() == 1, errors);
+        assertEquals(List.of("old.json", "shape.json"), fileNames());
     }
 
     @Test
     void anExistingFileIsNeverOverwritten() throws Exception {
-        files(SidecarFixture.config("127.0.0.1:1", NONE, 256), SHAPE);
-        byte[] mine = {1, 2, 3};
-        Files.write(folder.resolve("new.json"), mine);
-        assertEquals(2, migrate("--out", at("new.json")));
-        assertArrayEquals(mine, Files.readAllBytes(folder.resolve("new.json")));
-        assertEquals(List.of("new.json", "old.json", "shape.json"), names());
+        writeInput(SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256), SHAPE);
+        byte[] existing = {1, 2, 3};
+        Files.write(folder.resolve("new.json"), existing);
+        assertEquals(2, migrate("--out", path("new.json")));
+        assertArrayEquals(existing, Files.readAllBytes(folder.resolve("new.json")));
+        assertEquals(List.of("new.json", "old.json", "shape.json"), fileNames());
     }
 
     @Test
-    void aMissingDirectoryIsNamed() throws Exception {
-        files(SidecarFixture.config("127.0.0.1:1", NONE, 256), SHAPE);
-        assertEquals(2, migrate("--out", at("nowhere/new.json")));
+    void aMissingOutputDirectoryIsReported() throws Exception {
+        writeInput(SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256), SHAPE);
+        assertEquals(2, migrate("--out", path("nowhere/new.json")));
         assertTrue(errors.contains("--out") && errors.lines().count() == 1, errors);
-        assertEquals(List.of("old.json", "shape.json"), names());
+        assertEquals(List.of("old.json", "shape.json"), fileNames());
     }
 
-    /** Guards against a name that is added to Settings and not to Migration. */
+    /** Guards against a setting whose name is added to Settings and not to Migration. */
     @Test
     void theExampleMigratesCompletelyWithAnEmptyShape() throws Exception {
-        files(Files.readString(Path.of("../examples/config.json")), "{\"settings\":{}}");
-        assertEquals(0, migrate("--out", at("new.json")));
+        writeInput(Files.readString(Path.of("../examples/config.json")), "{\"settings\":{}}");
+        assertEquals(0, migrate("--out", path("new.json")));
         assertEquals("", errors);
     }
 
-    /** The same actions, one by one, from an old file and from one that sets each new field to its default. */
+    /** Expects the same sequence of actions from an old file and from one that sets each new field to its default. */
     @Test
-    void anOldFileDecidesAsOneWithExplicitDefaults() throws Exception {
-        files(
-                SidecarFixture.config("127.0.0.1:1", NONE, 256),
+    void anOldConfigurationActsAsOneWithExplicitDefaults() throws Exception {
+        writeInput(
+                SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256),
                 "{\"settings\":{\"me\":0,\"siblings\":1,"
                         + "\"weights\":\"silent\",\"load-report\":{\"how\":\"silent\"},\"allowed\":{"
                         + "\"peers\":false,\"probes\":false,\"streams-per-conn\":1}}}");
-        assertEquals(0, migrate("--out", at("new.json")));
-        List<String> old = acts("old.json");
+        assertEquals(0, migrate("--out", path("new.json")));
+        List<String> old = recordActions("old.json");
         assertTrue(old.size() > 100);
-        assertEquals(old, acts("new.json"));
+        assertEquals(old, recordActions("new.json"));
     }
 
-    private List<String> acts(String file) throws Exception {
-        List<String> acts = new ArrayList<>();
-        InvocationHandler write = (self, method, arguments) -> {
-            acts.add(method.getName() + Arrays.toString(arguments));
+    private List<String> recordActions(String file) throws Exception {
+        List<String> actions = new ArrayList<>();
+        InvocationHandler recordAction = (proxy, method, arguments) -> {
+            actions.add(method.getName() + Arrays.toString(arguments));
             return null;
         };
-        LoadBalancerActions effects = (LoadBalancerActions) Proxy.newProxyInstance(
-                LoadBalancerActions.class.getClassLoader(), new Class<?>[] {LoadBalancerActions.class}, write);
-        LoadBalancer decide = SidecarConfig.parse(Files.readAllBytes(folder.resolve(file)))
+        LoadBalancerActions recorder = (LoadBalancerActions) Proxy.newProxyInstance(
+                LoadBalancerActions.class.getClassLoader(), new Class<?>[] {LoadBalancerActions.class}, recordAction);
+        LoadBalancer loadBalancer = SidecarConfig.parse(Files.readAllBytes(folder.resolve(file)))
                 .settings()
-                .createForSockets(effects, 7, false);
-        decide.start(100);
+                .createForSockets(recorder, 7, false);
+        loadBalancer.start(100);
         List<Endpoint> rows = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             rows.add(new Endpoint(
@@ -244,28 +245,28 @@
                     ZoneId.of("z" + i / 3),
                     new InstanceTypeId(0)));
         }
-        decide.endpointsUpdated(100, EndpointUpdate.COMPLETE, rows);
+        loadBalancer.endpointsUpdated(100, EndpointUpdate.COMPLETE, rows);
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 200; i++) {
             double now = 100 + i * 0.05;
             RequestId id = new RequestId("q" + i);
-            decide.wakeUp(now);
-            decide.requestArrived(
+            loadBalancer.wakeUp(now);
+            loadBalancer.requestArrived(
                     now,
                     new RequestArrival(
                             id, new RequestClassId(i % 3), new TenantId(i % 2), null, now + 0.8, Double.NaN, false));
-            RequestId ended = new RequestId("q" + (i - random.nextInt(4)));
+            RequestId endedId = new RequestId("q" + (i - random.nextInt(4)));
             Outcome outcome = OUTCOMES.get(random.nextInt(OUTCOMES.size()));
-            decide.attemptEnded(now + 0.04, ended, 0, outcome, outcome == Outcome.SERVED, null);
+            loadBalancer.attemptEnded(now + 0.04, endedId, 0, outcome, outcome == Outcome.SERVED, null);
         }
-        return acts;
+        return actions;
     }
 
-    /** What an old file does not set has no effect. */
+    /** Guards against features that take effect although the old file does not set them. */
     @Test
-    void anOldFileNeitherProbesNorSharesLoad() throws Exception {
+    void anOldConfigurationNeitherProbesNorSharesLoad() throws Exception {
         SidecarConfig old = SidecarConfig.parse(
-                SidecarFixture.config("127.0.0.1:1", NONE, 256).getBytes(ISO_8859_1));
+                SidecarFixture.config("127.0.0.1:1", NO_HOSTS, 256).getBytes(ISO_8859_1));
         assertFalse(old.settings().topology().probesLoad()
                 || old.settings().topology().sharesLoad());
         assertEquals(1, old.settings().streamsPerConnection());
--- a/daemon/src/test/java/portrelay/net/PeersNetTest.java
+++ b/daemon/src/test/java/portrelay/net/PeersNetTest.java
@@ -33,29 +33,30 @@
 import portrelay.net.peer.PeerActor;
 import portrelay.settings.InvalidSettingException;
 
-/** Messages between sidecars over loopback datagrams: the other sidecar is a socket of the test. */
+/** Messages between sidecars in datagrams over loopback; a socket of the test plays the other sidecar. */
 @Timeout(60)
 class PeersNetTest {
 
-    private static final InetAddress HOME = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     private static DatagramSocket socket() throws Exception {
-        DatagramSocket socket = new DatagramSocket(new InetSocketAddress(HOME, 0));
+        DatagramSocket socket = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
         socket.setSoTimeout(5000);
         return socket;
     }
 
-    private static String at(int port) {
+    private static String quotedAddress(int port) {
         return "\"127.0.0.1:" + port + "\"";
     }
 
-    /** The first of two sidecars; the second has the given port. */
-    private static UnaryOperator<String> peers(int ours, int other) {
+    /** Configures the first of two sidecars on the port {@code ours}; the second has the port {@code other}. */
+    private static UnaryOperator<String> withPeers(int ours, int other) {
         return config -> config.replace("\"siblings\":1", "\"siblings\":2,\"me\":0")
                 .replace("\"allowed\":{", "\"allowed\":{\"peers\":true,")
                 .replace(
                         "\"seed\"",
-                        "\"peer_listen\":" + at(ours) + ",\"peers\":[" + at(ours) + "," + at(other) + "],\"seed\"");
+                        "\"peer_listen\":" + quotedAddress(ours) + ",\"peers\":[" + quotedAddress(ours) + ","
+                                + quotedAddress(other) + "],\"seed\"");
     }
 
     private static int freePort() throws Exception {
@@ -64,74 +65,87 @@
         }
     }
 
-    private static String next(DatagramSocket at) throws Exception {
+    private static String receive(DatagramSocket socket) throws Exception {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        at.receive(packet);
+        socket.receive(packet);
         return new String(packet.getData(), 0, packet.getLength(), ISO_8859_1);
     }
 
-    private static void say(DatagramSocket from, int to, byte[] bytes) throws Exception {
-        from.send(new DatagramPacket(bytes, bytes.length, HOME, to));
+    private static void send(DatagramSocket from, int to, byte[] bytes) throws Exception {
+        from.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, to));
     }
 
     @Test
-    void attemptStartsAndEndsAreBroadcastAndHeeded() throws Exception {
+    void attemptEventsAreSentToPeersAndThoseOfPeersCountAsLoad() throws Exception {
         int port = freePort();
         try (DatagramSocket other = socket();
                 SidecarFixture fixture = new SidecarFixture(
-                        1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"), answer("200 OK", "u"))) {
+                        1024,
+                        "{}",
+                        withPeers(port, other.getLocalPort()),
+                        answer("200 OK", "u"),
+                        answer("200 OK", "u"))) {
             assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
-            String begun = next(other);
-            String ended = next(other);
-            assertEquals(4, begun.length());
-            assertEquals(5, ended.length());
-            assertEquals(begun.substring(1), ended.substring(1, 4));
-            int busy = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            String startMessage = receive(other);
+            String endMessage = receive(other);
+            assertEquals(4, startMessage.length());
+            assertEquals(5, endMessage.length());
+            assertEquals(startMessage.substring(1), endMessage.substring(1, 4));
+            int loadedUpstream = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
-                say(other, port, begun.getBytes(ISO_8859_1));
+                send(other, port, startMessage.getBytes(ISO_8859_1));
             }
-            // Received before the answer to this one, as one loop reads both.
+            // The messages are handled before this answer, as one loop reads both.
             assertEquals(200, fixture.ask(SidecarFixture.read("b", 900)).status());
-            int before = fixture.upstreams.get(busy).seen.size();
+            int previous = fixture.upstreams.get(loadedUpstream).seen.size();
             for (int i = 0; i < 12; i++) {
                 assertEquals(200, fixture.ask(SidecarFixture.read("c" + i, 900)).status());
             }
-            assertEquals(before, fixture.upstreams.get(busy).seen.size(), "sent where the other one waits");
+            assertEquals(
+                    previous,
+                    fixture.upstreams.get(loadedUpstream).seen.size(),
+                    "sent to the upstream at which the other sidecar's requests wait");
         }
     }
 
-    /** Guards against others that can reach the port. */
+    /** Guards against messages of any other process that can reach the port. */
     @Test
-    void messagesFromStrangersAndUnreadableOrLongOnesAreDropped() throws Exception {
+    void messagesFromUnknownSendersAndUnreadableOrLongMessagesAreDropped() throws Exception {
         int port = freePort();
         try (DatagramSocket other = socket();
-                DatagramSocket stranger = socket();
+                DatagramSocket unknownSender = socket();
                 SidecarFixture fixture = new SidecarFixture(
-                        1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"), answer("200 OK", "u"))) {
+                        1024,
+                        "{}",
+                        withPeers(port, other.getLocalPort()),
+                        answer("200 OK", "u"),
+                        answer("200 OK", "u"))) {
             assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
-            String begun = next(other);
-            int used = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            String startMessage = receive(other);
+            int firstUpstream = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
-                say(stranger, port, begun.getBytes(ISO_8859_1));
-                say(other, port, (begun + "\u0001").getBytes(ISO_8859_1));
-                say(other, port, (begun + "x".repeat(300)).getBytes(ISO_8859_1));
-                say(other, port, new byte[0]);
+                send(unknownSender, port, startMessage.getBytes(ISO_8859_1));
+                send(other, port, (startMessage + "\u0001").getBytes(ISO_8859_1));
+                send(other, port, (startMessage + "x".repeat(300)).getBytes(ISO_8859_1));
+                send(other, port, new byte[0]);
             }
             for (int i = 0; i < 40; i++) {
                 assertEquals(200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
             }
-            assertTrue(fixture.upstreams.get(used).seen.size() > 1, "a stranger's message was used");
+            assertTrue(
+                    fixture.upstreams.get(firstUpstream).seen.size() > 1,
+                    "a message from an unknown sender or an unreadable one was applied");
         }
     }
 
-    /** Guards the form of messages, printable ASCII, at its upper end: 0x7f is a control character. */
+    /** Guards against accepting 0x7f, the control character above printable ASCII, the form of messages. */
     @Test
     void noControlCharacterReachesTheListener() throws Exception {
         int port = freePort();
         try (DatagramSocket other = socket()) {
-            String text = peers(port, other.getLocalPort())
+            String json = withPeers(port, other.getLocalPort())
                     .apply(SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 1024));
-            SidecarConfig config = SidecarConfig.parse(text.getBytes(ISO_8859_1));
+            SidecarConfig config = SidecarConfig.parse(json.getBytes(ISO_8859_1));
             XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
             EventLoop loop = new EventLoop(worker.getIoThread(), new MonotonicClock());
             BlockingQueue<String> received = new LinkedBlockingQueue<>();
@@ -141,11 +155,11 @@
                     worker,
                     config.peers(),
                     2,
-                    (from, message) -> received.add(message));
+                    (from, text) -> received.add(text));
             actor.start();
             HeldEventLoop.settled(loop);
-            for (String each : List.of("a\u007f", "\u001fb", "~ c")) {
-                say(other, port, each.getBytes(ISO_8859_1));
+            for (String message : List.of("a\u007f", "\u001fb", "~ c")) {
+                send(other, port, message.getBytes(ISO_8859_1));
             }
             assertEquals("~ c", received.poll(5, TimeUnit.SECONDS));
             actor.close();
@@ -153,25 +167,25 @@
         }
     }
 
-    /** The previous process still has the address: the successor serves, and binds later. */
+    /** The previous process still holds the address: the successor serves, and binds it later. */
     @Test
     void aTakenPeerAddressDoesNotPreventServing() throws Exception {
         try (DatagramSocket other = socket();
-                DatagramSocket before = socket()) {
-            int port = before.getLocalPort();
+                DatagramSocket previous = socket()) {
+            int port = previous.getLocalPort();
             try (SidecarFixture fixture =
-                    new SidecarFixture(1024, "{}", peers(port, other.getLocalPort()), answer("200 OK", "u"))) {
+                    new SidecarFixture(1024, "{}", withPeers(port, other.getLocalPort()), answer("200 OK", "u"))) {
                 assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
-                before.close();
+                previous.close();
                 for (int i = 0; other.getSoTimeout() > 0; i++) {
                     assertEquals(
                             200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
                     other.setSoTimeout(100);
                     try {
-                        assertEquals('!', next(other).charAt(0));
+                        assertEquals('!', receive(other).charAt(0));
                         break;
                     } catch (java.net.SocketTimeoutException e) {
-                        assertTrue(i < 100, "never bound");
+                        assertTrue(i < 100, "the peer address was never bound");
                     }
                 }
             }
@@ -181,33 +195,35 @@
     // ---- Configuration ------------------------------------------------------------------------------------
 
     @Test
-    void invalidPeerAddressesAreNamedAndAnIncompleteConfigurationIsNone() throws Exception {
+    void invalidPeerAddressesAreReportedAndAnIncompleteConfigurationDisablesPeers() throws Exception {
         String config = SidecarFixture.config("127.0.0.1:1", "{\"seq\":1,\"hosts\":[]}", 1024);
-        String good = peers(7946, 7947).apply(config);
+        String valid = withPeers(7946, 7947).apply(config);
         assertEquals(
                 2,
-                SidecarConfig.parse(good.getBytes(ISO_8859_1))
+                SidecarConfig.parse(valid.getBytes(ISO_8859_1))
                         .peers()
                         .sidecars()
                         .size());
-        assertNamed("peer_listen", good.replace("peer_listen\":\"127.0.0.1", "peer_listen\":\"here"));
-        assertNamed("peers[1]", good.replace("127.0.0.1:7947", "127.0.0.1:79470"));
-        assertNamed("peers[1]", good.replace(at(7947), "7947"));
-        assertNamed("peers", good.replace("\"peers\":[" + at(7946) + "," + at(7947) + "]", "\"peers\":{}"));
-        assertNamed("peers_all", good.replace("\"seed\"", "\"peers_all\":\"all\",\"seed\""));
-        SidecarConfig deaf =
-                SidecarConfig.parse(good.replace("peer_listen", "peer_listens").getBytes(ISO_8859_1));
-        assertNull(deaf.peers());
-        assertTrue(deaf.ignoredSettings().get(0).startsWith("settings.allowed.peers"));
-        assertFalse(SidecarConfig.parse(good.getBytes(ISO_8859_1)).ignoredSettings().stream()
+        assertReported("peer_listen", valid.replace("peer_listen\":\"127.0.0.1", "peer_listen\":\"here"));
+        assertReported("peers[1]", valid.replace("127.0.0.1:7947", "127.0.0.1:79470"));
+        assertReported("peers[1]", valid.replace(quotedAddress(7947), "7947"));
+        assertReported(
+                "peers",
+                valid.replace("\"peers\":[" + quotedAddress(7946) + "," + quotedAddress(7947) + "]", "\"peers\":{}"));
+        assertReported("peers_all", valid.replace("\"seed\"", "\"peers_all\":\"all\",\"seed\""));
+        SidecarConfig withoutPeerListen =
+                SidecarConfig.parse(valid.replace("peer_listen", "peer_listens").getBytes(ISO_8859_1));
+        assertNull(withoutPeerListen.peers());
+        assertTrue(withoutPeerListen.ignoredSettings().get(0).startsWith("settings.allowed.peers"));
+        assertFalse(SidecarConfig.parse(valid.getBytes(ISO_8859_1)).ignoredSettings().stream()
                 .anyMatch(each -> each.startsWith("settings.allowed.peers")));
         assertTrue(
                 Sidecar.check(SidecarConfig.parse(
-                        good.replace("\"siblings\":2", "\"siblings\":1").getBytes(ISO_8859_1))),
-                "more peers than sidecars");
+                        valid.replace("\"siblings\":2", "\"siblings\":1").getBytes(ISO_8859_1))),
+                "a configuration with more peers than sidecars is not accepted");
     }
 
-    private static void assertNamed(String field, String json) {
+    private static void assertReported(String field, String json) {
         InvalidSettingException e =
                 assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json.getBytes(ISO_8859_1)));
         assertTrue(e.getMessage().startsWith(field + ":"), e.getMessage());
--- a/daemon/src/test/java/portrelay/net/RecordedWireTest.java
+++ b/daemon/src/test/java/portrelay/net/RecordedWireTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What clients and upstreams see, byte for byte, against a recording. Guards against a change of statuses, bodies, the
- * order of headers or the end of a connection. Values that differ from run to run are written as N.
+ * Compares what clients and upstreams see, byte for byte, with a recording. Guards against changed statuses, bodies,
+ * order of headers or ends of connections. Values that differ from run to run are written as N.
  */
 @Timeout(120)
 class RecordedWireTest {
@@ -33,9 +33,9 @@
     private static final Path RECORDING = Path.of("src/test/resources/portrelay/net/recorded-wire.txt");
     private static final String GET = SidecarFixture.head("GET /read/x", "id", "read", 500);
     private static final String POST = SidecarFixture.head("POST /issue/x", "id", "issue", 500);
-    private static final String SAVE = SidecarFixture.head("POST /save/x", "id", "save", 500);
+    private static final String KEYED_POST = SidecarFixture.head("POST /save/x", "id", "save", 500);
     private static final String OK = "HTTP/1.1 200 OK\r\n";
-    private static final String HI = OK
+    private static final String OK_RESPONSE = OK
             + "X-A: 1\r\nX-a: 2\r\nKeep-Alive: 5\r\nConnection: X-Hop\r\nX-Hop: h\r\nDate: d\r\nServer: s\r\n"
             + "Content-Length: 2\r\n\r\nhi";
 
@@ -62,8 +62,8 @@
             GET.replace("GET", "BREW") + "\r\n",
             GET.replace("GET", "HEAD") + "\r\n",
             GET + "Content-Length: 2\r\n\r\nhi",
-            SAVE + "Content-Length: 0\r\n\r\n",
-            SAVE + "Idempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc",
+            KEYED_POST + "Content-Length: 0\r\n\r\n",
+            KEYED_POST + "Idempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc",
             POST + "Content-Length: 37748737\r\n\r\n",
             POST + "Content-Length: x\r\n\r\n",
             POST + "Content-Length: -1\r\n\r\n",
@@ -96,10 +96,10 @@
             OK + "Content-Length: 0\r\n\r\n",
             OK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nT: t\r\n\r\n",
             OK + "Content-Length: 100000\r\n\r\n" + "w".repeat(100_000),
-            OK + "Content-Length: 2\r\n\r\nhi" + HI,
+            OK + "Content-Length: 2\r\n\r\nhi" + OK_RESPONSE,
             OK + "Connection: close\r\nContent-Length: 2\r\n\r\nhi",
             OK + "A: \u0001b\r\nContent-Length: 2\r\n\r\nhi",
-            "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 H\r\nL: a\r\n\r\n" + HI,
+            "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 H\r\nL: a\r\n\r\n" + OK_RESPONSE,
             "HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\nall",
             "HTTP/1.1 204 No\r\n\r\n",
             "HTTP/1.1 304 No\r\nContent-Length: 7\r\n\r\n",
@@ -116,7 +116,7 @@
             OK + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             OK + "Content-Length: 37748737\r\n\r\nx");
 
-    /** Answers each complete request with the same bytes, and remembers the first request of all. */
+    /** An upstream that answers each complete request with the same bytes and records the requests. */
     private static final class RawUpstream implements AutoCloseable {
 
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -176,13 +176,13 @@
             return request.length() == headEnd + 4 + bytes;
         }
 
-        /** The first request; of a long one the head. */
+        /** Returns the first request, or only its head where it has 2000 bytes or more; "none" without a request. */
         String firstRequest() throws InterruptedException {
             String first = requests.poll(0, TimeUnit.SECONDS);
             if (first == null) {
                 return "none";
             }
-            return text(first.length() < 2000 ? first : first.substring(0, first.indexOf("\r\n\r\n") + 4));
+            return printable(first.length() < 2000 ? first : first.substring(0, first.indexOf("\r\n\r\n") + 4));
         }
 
         @Override
@@ -191,7 +191,7 @@
         }
     }
 
-    private static String text(String bytes) {
+    private static String printable(String bytes) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < bytes.length(); i++) {
             char c = bytes.charAt(i);
@@ -205,9 +205,9 @@
                 : stable.substring(0, 300) + "... " + stable.length() + " characters, hash " + stable.hashCode();
     }
 
-    /** Reads until the connection ends, or has brought what is expected and nothing more for a moment. */
+    /** Reads until the connection ends, or the expected text is followed by 100 ms of silence; for at most 5 s. */
     private static String read(Socket client, String expected) throws IOException {
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         byte[] buffer = new byte[65_536];
         client.setSoTimeout(100);
         String text = " open";
@@ -215,11 +215,11 @@
             try {
                 int count = client.getInputStream().read(buffer);
                 if (count < 0) {
-                    return text(got.toString(ISO_8859_1)) + " ended";
+                    return printable(received.toString(ISO_8859_1)) + " ended";
                 }
-                got.write(buffer, 0, count);
+                received.write(buffer, 0, count);
             } catch (SocketTimeoutException e) {
-                text = text(got.toString(ISO_8859_1)) + " open";
+                text = printable(received.toString(ISO_8859_1)) + " open";
                 if (text.equals(expected)) {
                     return text;
                 }
@@ -228,30 +228,31 @@
         return text;
     }
 
-    private static String play(String request, String response, String expected) throws Exception {
+    private static String exchange(String request, String response, String expected) throws Exception {
         try (RawUpstream upstream = new RawUpstream(response)) {
             String row = SidecarFixture.host("s-0", "127.0.0.1:" + upstream.listener.getLocalPort(), "SERVING");
             try (SidecarFixture testbed = new SidecarFixture(
                     1024, "{}", config -> config.replace("\"hosts\":[]", "\"hosts\":[" + row + "]"))) {
                 Socket client = testbed.connect();
                 client.getOutputStream().write(request.getBytes(ISO_8859_1));
-                String seen = read(client, expected == null ? "" : expected.split(" \\| ")[0]);
-                return seen + " | " + upstream.firstRequest();
+                String received = read(client, expected == null ? "" : expected.split(" \\| ")[0]);
+                return received + " | " + upstream.firstRequest();
             }
         }
     }
 
-    /** Names of the exchanges, each with its request and the upstream's response. */
+    /** Returns the exchanges by name, each with its request and the upstream's response. */
     private static Map<String, List<String>> exchanges() {
-        Map<String, List<String>> all = new LinkedHashMap<>();
+        Map<String, List<String>> exchanges = new LinkedHashMap<>();
         for (int i = 0; i < REQUESTS.size(); i++) {
-            all.put("request " + i, List.of(REQUESTS.get(i), HI));
+            exchanges.put("request " + i, List.of(REQUESTS.get(i), OK_RESPONSE));
         }
         for (int i = 0; i < RESPONSES.size(); i++) {
-            all.put("response " + i + " to GET", List.of(GET + "\r\n", RESPONSES.get(i)));
-            all.put("response " + i + " to POST", List.of(POST + "Content-Length: 2\r\n\r\nhi", RESPONSES.get(i)));
+            exchanges.put("response " + i + " to GET", List.of(GET + "\r\n", RESPONSES.get(i)));
+            exchanges.put(
+                    "response " + i + " to POST", List.of(POST + "Content-Length: 2\r\n\r\nhi", RESPONSES.get(i)));
         }
-        return all;
+        return exchanges;
     }
 
     @Test
@@ -260,16 +261,16 @@
         Map<String, List<String>> exchanges = exchanges();
         assertEquals(exchanges.size(), recorded.size());
         int next = 0;
-        List<String> seen = new ArrayList<>();
-        for (Map.Entry<String, List<String>> each : exchanges.entrySet()) {
+        List<String> received = new ArrayList<>();
+        for (Map.Entry<String, List<String>> exchange : exchanges.entrySet()) {
             String expected = recorded.get(next++);
-            String name = each.getKey() + " | ";
-            String played = play(
-                    each.getValue().get(0),
-                    each.getValue().get(1),
+            String name = exchange.getKey() + " | ";
+            String outcome = exchange(
+                    exchange.getValue().get(0),
+                    exchange.getValue().get(1),
                     expected.startsWith(name) ? expected.substring(name.length()) : null);
-            seen.add(name + played);
+            received.add(name + outcome);
         }
-        assertEquals(String.join("\n", recorded), String.join("\n", seen));
+        assertEquals(String.join("\n", recorded), String.join("\n", received));
     }
 }
--- a/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
@@ -20,64 +20,64 @@
 import portrelay.net.lifecycle.SidecarConfig;
 import portrelay.settings.InvalidSettingException;
 
-/** Invalid settings are named and never crash the start; sidecars of one JVM share no settings. */
+/** Invalid settings are reported by their path and never crash the start; sidecars of one JVM share no settings. */
 @Timeout(30)
 class SettingsCrossingsTest {
 
-    private static final String GOOD = SidecarFixture.config(
+    private static final String VALID_CONFIG = SidecarFixture.config(
             "127.0.0.1:1", "{\"seq\":1,\"hosts\":[" + SidecarFixture.host("s", "127.0.0.1:2", "SERVING") + "]}", 1024);
-    private static final List<Object> BAD = Arrays.asList(
+    private static final List<Object> INVALID_VALUES = Arrays.asList(
             null, -1.0, 0.5, 1e300, "", "x", true, List.of(), List.of("x"), Map.of(), Map.of("name", 7.0));
 
-    /** Each field in turn is removed or set to each bad value: accepted, or named by its path. */
+    /** Sets each field in turn to each invalid value, null among them: it must be accepted or reported by its path. */
     @Test
-    void anInvalidSettingIsNamedByItsPath() throws Exception {
-        List<String> wrong = new ArrayList<>();
-        int named = tryAll(JsonTree.parse(GOOD.getBytes(UTF_8)), wrong);
-        assertEquals(List.of(), wrong);
-        assertTrue(named > 300, named + " were named");
+    void anInvalidSettingIsReportedByItsPath() throws Exception {
+        List<String> wrongReports = new ArrayList<>();
+        int rejected = tryInvalidValues(JsonTree.parse(VALID_CONFIG.getBytes(UTF_8)), wrongReports);
+        assertEquals(List.of(), wrongReports);
+        assertTrue(rejected > 300, rejected + " invalid values were reported by their path");
     }
 
-    private int tryAll(Object root, List<String> wrong) throws Exception {
-        int named = 0;
+    private int tryInvalidValues(Object root, List<String> wrongReports) throws Exception {
+        int rejected = 0;
         for (JsonField field : fields(root, "")) {
-            for (Object bad : BAD) {
-                Object before = field.set(bad);
+            for (Object invalid : INVALID_VALUES) {
+                Object original = field.set(invalid);
                 String json = new String(JsonTree.write(root), UTF_8);
                 try {
-                    start(json);
+                    startWithoutSockets(json);
                 } catch (InvalidSettingException e) {
-                    named++;
+                    rejected++;
                     String reported = e.getMessage().split(":")[0];
                     // The error may name the changed field, one inside it, or one that refers to it.
-                    boolean isRight = reported.equals("the whole")
+                    boolean isRightPath = reported.equals("the whole")
                             || reported.startsWith(field.path)
                             || field.path.startsWith(reported)
                             || field.path.startsWith("settings.") && reported.startsWith("settings.");
-                    if (!isRight || e.getMessage().contains("\n")) {
-                        wrong.add(field.path + "=" + bad + " is called " + e.getMessage());
+                    if (!isRightPath || e.getMessage().contains("\n")) {
+                        wrongReports.add(field.path + "=" + invalid + " is reported as " + e.getMessage());
                     }
                 } catch (RuntimeException e) {
-                    wrong.add(field.path + "=" + bad + " threw " + e);
+                    wrongReports.add(field.path + "=" + invalid + " threw " + e);
                 }
-                field.set(before);
+                field.set(original);
             }
         }
-        return named;
+        return rejected;
     }
 
-    /** The start of a sidecar without its sockets. */
-    private static void start(String json) throws InvalidSettingException {
+    /** Runs the start of a sidecar without opening its sockets. */
+    private static void startWithoutSockets(String json) throws InvalidSettingException {
         SidecarConfig config = SidecarConfig.parse(json.getBytes(UTF_8));
-        LoadBalancerActions none = (LoadBalancerActions) Proxy.newProxyInstance(
+        LoadBalancerActions noActions = (LoadBalancerActions) Proxy.newProxyInstance(
                 LoadBalancerActions.class.getClassLoader(),
                 new Class<?>[] {LoadBalancerActions.class},
                 (self, method, arguments) -> null);
-        config.settings().createForSockets(none, config.seed(), false).start(0);
+        config.settings().createForSockets(noActions, config.seed(), false).start(0);
         config.ignoredSettings();
     }
 
-    /** A place in a JSON tree, whose value can be replaced. */
+    /** A field of a JSON tree, whose value can be replaced. */
     private record JsonField(Object container, Object key, String path) {
 
         @SuppressWarnings("unchecked")
@@ -107,24 +107,25 @@
     }
 
     @Test
-    void aDuplicateIsNamed() {
-        Map<String, String> twice = new LinkedHashMap<>();
-        twice.put("settings.classes[1].name", GOOD.replace("\"save\"", "\"read\""));
-        twice.put("settings.tenants[1].name", GOOD.replace("\"beta\"", "\"acme\""));
-        twice.put("the whole", GOOD.replace("\"seed\":", "\"seed\":\"1\",\"seed\":"));
-        twice.put("the whole ", GOOD.replace("\"max-attempts\":4", "\"max-attempts\":4,\"max-attempts\":2"));
-        twice.forEach((place, json) -> {
+    void aDuplicateNameIsReportedByItsPath() {
+        Map<String, String> duplicates = new LinkedHashMap<>();
+        duplicates.put("settings.classes[1].name", VALID_CONFIG.replace("\"save\"", "\"read\""));
+        duplicates.put("settings.tenants[1].name", VALID_CONFIG.replace("\"beta\"", "\"acme\""));
+        duplicates.put("the whole", VALID_CONFIG.replace("\"seed\":", "\"seed\":\"1\",\"seed\":"));
+        duplicates.put(
+                "the whole ", VALID_CONFIG.replace("\"max-attempts\":4", "\"max-attempts\":4,\"max-attempts\":2"));
+        duplicates.forEach((path, json) -> {
             InvalidSettingException e =
-                    assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json.getBytes(UTF_8)), place);
-            assertTrue(e.getMessage().startsWith(place.trim() + ":"), e.getMessage());
+                    assertThrows(InvalidSettingException.class, () -> SidecarConfig.parse(json.getBytes(UTF_8)), path);
+            assertTrue(e.getMessage().startsWith(path.trim() + ":"), e.getMessage());
         });
     }
 
-    /** Neither names nor limits, permissions nor ids of upstreams. */
+    /** Covers names, limits, permissions and the ids of upstreams. */
     @Test
     void twoSidecarsInOneProcessShareNothing() throws Exception {
-        try (SidecarFixture one = new SidecarFixture(answer("200 OK", "one"));
-                SidecarFixture other = new SidecarFixture(
+        try (SidecarFixture first = new SidecarFixture(answer("200 OK", "one"));
+                SidecarFixture second = new SidecarFixture(
                         1024,
                         "{}",
                         config -> config.replace("\"read\"", "\"level\"")
@@ -135,19 +136,20 @@
             String level =
                     SidecarFixture.read("same", 900).replace("read", "level").replace("acme", "lithium");
             assertEquals(
-                    "one", new String(one.ask(SidecarFixture.read("same", 900)).body(), ISO_8859_1));
-            assertEquals("other", new String(other.ask(level).body(), ISO_8859_1));
-            assertEquals(404, one.ask(level).status());
-            assertEquals(404, other.ask(SidecarFixture.read("a", 900)).status());
-            assertEquals(200, one.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(200, other.ask(level).status());
-            SidecarFixture.Message rejected = one.ask(SidecarFixture.read("b", 900));
-            assertEquals(429, rejected.status());
-            assertEquals("0.25", rejected.header("Retry-After"));
-            assertEquals(200, other.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(null, other.ask(level).header("Retry-After"));
-            one.sidecar.close();
-            assertEquals(429, other.ask(level).status());
+                    "one",
+                    new String(first.ask(SidecarFixture.read("same", 900)).body(), ISO_8859_1));
+            assertEquals("other", new String(second.ask(level).body(), ISO_8859_1));
+            assertEquals(404, first.ask(level).status());
+            assertEquals(404, second.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(200, first.call("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(200, second.ask(level).status());
+            SidecarFixture.Message rejection = first.ask(SidecarFixture.read("b", 900));
+            assertEquals(429, rejection.status());
+            assertEquals("0.25", rejection.header("Retry-After"));
+            assertEquals(200, second.call("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(null, second.ask(level).header("Retry-After"));
+            first.sidecar.close();
+            assertEquals(429, second.ask(level).status());
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
+++ b/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
@@ -22,13 +22,13 @@
 import portrelay.net.lifecycle.Sidecar;
 import portrelay.net.lifecycle.SidecarConfig;
 
-/** Each step of a graceful shutdown, as clients see it; the longest deadline is 1 s. */
+/** The steps of a graceful shutdown as clients see them; the longest deadline is 1 s. */
 @Timeout(40)
 class ShutdownNetTest {
 
     private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-    /** Of idle connections 16 are never surplus. */
-    private static final int MORE_THAN_STAY_IDLE = 40;
+    /** More than the 16 idle connections that are never closed as surplus. */
+    private static final int IDLE_CLIENT_COUNT = 40;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private ScriptedServer discovery;
@@ -65,39 +65,39 @@
         client.getOutputStream().write(bytes.getBytes(ISO_8859_1));
     }
 
-    /** Shuts down for a signal of so many seconds ago. */
-    private Thread drain(double ago) {
-        long heardAt = System.nanoTime() - (long) (ago * 1e9);
-        Thread drain = new Thread(() -> sidecar.drain(heardAt));
+    /** Starts the shutdown as for a signal that many seconds ago. */
+    private Thread drain(double secondsAgo) {
+        long signalNanos = System.nanoTime() - (long) (secondsAgo * 1e9);
+        Thread drain = new Thread(() -> sidecar.drain(signalNanos));
         drain.start();
         return drain;
     }
 
-    /** Returns once the shutdown waits for the event loop, or has ended. */
+    /** Returns once the shutdown waits for the event loop or has ended. */
     private static void awaitPosted(Thread drain) {
         while (drain.getState() != Thread.State.TIMED_WAITING && drain.getState() != Thread.State.TERMINATED) {
             Thread.onSpinWait();
         }
     }
 
-    private void awaitLogged(String what) {
+    private void awaitLogged(String text) {
         long until = System.nanoTime() + 5_000_000_000L;
-        while (!log.toString(ISO_8859_1).contains(what)) {
-            assertTrue(System.nanoTime() < until, "no " + what + " in " + log.toString(ISO_8859_1));
+        while (!log.toString(ISO_8859_1).contains(text)) {
+            assertTrue(System.nanoTime() < until, "no " + text + " in " + log.toString(ISO_8859_1));
             Thread.onSpinWait();
         }
     }
 
-    /** The first line of the log that has this. */
-    private String line(String what) {
+    /** Returns the first line of the log that contains the text. */
+    private String firstLogLine(String text) {
         return log.toString(ISO_8859_1)
                 .lines()
-                .filter(each -> each.contains(what))
+                .filter(each -> each.contains(text))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Guards against counting from when the sidecar was opened, up to 3 s after the signal. */
+    /** Guards against a budget that counts from when the sidecar was opened, up to 3 s after the signal. */
     @Test
     void theShutdownBudgetCountsFromTheSignal() throws Exception {
         try (Socket client = connect()) {
@@ -105,17 +105,19 @@
             upstream.next();
             long start = System.nanoTime();
             Thread drain = drain(1);
-            Message got = Message.read(client.getInputStream());
-            assertNotNull(got, "lost");
-            assertEquals(502, got.status());
-            // Killed in 0.7 s; the request has 1 s left.
-            assertTrue(System.nanoTime() - start < 0.55e9, "answered " + (System.nanoTime() - start) / 1e9);
+            Message response = Message.read(client.getInputStream());
+            assertNotNull(response, "the request was lost");
+            assertEquals(502, response.status());
+            // SIGKILL follows in 0.7 s; the request has 1 s left.
+            assertTrue(
+                    System.nanoTime() - start < 0.55e9,
+                    "answered only after seconds: " + (System.nanoTime() - start) / 1e9);
             drain.join();
-            assertTrue(System.nanoTime() - start < 0.7e9, "outlives the kill");
+            assertTrue(System.nanoTime() - start < 0.7e9, "the process outlives SIGKILL");
         }
     }
 
-    /** Guards against an answer that closes its connection with the next request read and unanswered. */
+    /** Guards against an answer that closes its connection while the next request has been read and not answered. */
     @Test
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses() throws Exception {
         try (Socket client = connect()) {
@@ -125,20 +127,20 @@
             upstream.next();
             Thread drain = drain(0.8);
             assertEquals(502, Message.read(client.getInputStream()).status());
-            for (String behind : new String[] {"b", "c"}) {
-                Message got = Message.read(client.getInputStream());
-                assertNotNull(got, behind + " is lost");
-                assertEquals(429, got.status());
-                assertEquals("0.25", got.header("Retry-After"));
+            for (String id : new String[] {"b", "c"}) {
+                Message response = Message.read(client.getInputStream());
+                assertNotNull(response, "request " + id + " is lost");
+                assertEquals(429, response.status());
+                assertEquals("0.25", response.header("Retry-After"));
             }
             assertNull(Message.read(client.getInputStream()));
-            assertEquals(0, upstream.seen.size(), "forwarded with no time left");
+            assertEquals(0, upstream.seen.size(), "a request was forwarded with no time left");
             drain.join();
         }
     }
 
     @Test
-    void aRequestReadLateIsRejectedUnsent() throws Exception {
+    void aRequestCompletedAfterForwardingEndsIsRejectedUnsent() throws Exception {
         try (Socket client = connect()) {
             String request = SidecarFixture.issue("a", 900);
             write(client, request.substring(0, 40));
@@ -146,10 +148,10 @@
             Thread drain = drain(0.7);
             awaitLogged("rejecting new requests");
             write(client, request.substring(40));
-            Message got = Message.read(client.getInputStream());
-            assertNotNull(got, "lost");
-            assertEquals(429, got.status());
-            assertEquals("close", got.header("Connection"));
+            Message response = Message.read(client.getInputStream());
+            assertNotNull(response, "the request was lost");
+            assertEquals(429, response.status());
+            assertEquals("close", response.header("Connection"));
             assertEquals(0, upstream.seen.size());
             client.close();
             drain.join();
@@ -158,9 +160,9 @@
         }
     }
 
-    /** Guards against an exit with requests unread that came while the process was stopped. */
+    /** Guards against an exit that leaves requests unread which arrived while the process was stopped. */
     @Test
-    void whatLiesUnreadAsTheTimeIsOverIsAnsweredBeforeTheEnd() throws Exception {
+    void requestsUnreadWhenTheBudgetEndsAreAnsweredBeforeTheExit() throws Exception {
         try (Socket client = connect()) {
             write(client, READINESS_REQUEST);
             assertEquals(200, Message.read(client.getInputStream()).status());
@@ -168,23 +170,26 @@
                 String request = SidecarFixture.issue("a", 900);
                 write(client, request);
                 HeldEventLoop.unread(client, request.length());
-                // The process is to end 1.6 s after the signal.
+                // The process must end 1.6 s after the signal.
                 awaitPosted(drain(1.65));
                 held.letGo();
             }
             assertEquals(429, Message.read(client.getInputStream()).status());
             awaitLogged("ended: ");
-            String ended = line("ended: ");
-            assertTrue(ended.contains(" clients=0 "), ended);
+            String endLine = firstLogLine("ended: ");
+            assertTrue(endLine.contains(" clients=0 "), endLine);
         }
     }
 
-    /** Guards against closing a connection, across its next request, that its client can't replace any more. */
+    /**
+     * Guards against closing an idle connection just as its client sends the next request, at a time when the client
+     * can no longer open another one.
+     */
     @Test
     void idleConnectionsStayOpenUntilRequestsAreRejected() throws Exception {
         List<Socket> clients = new ArrayList<>();
         try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
-            for (int i = 0; i < MORE_THAN_STAY_IDLE; i++) {
+            for (int i = 0; i < IDLE_CLIENT_COUNT; i++) {
                 clients.add(connect());
                 write(clients.get(i), READINESS_REQUEST);
             }
@@ -192,33 +197,33 @@
             held.letGo();
         }
         awaitLogged("rejecting new requests");
-        String rejecting = line("rejecting new requests");
-        assertTrue(rejecting.contains(" clients=" + MORE_THAN_STAY_IDLE + " "), rejecting);
-        for (Socket each : clients) {
-            each.close();
+        String rejectionLine = firstLogLine("rejecting new requests");
+        assertTrue(rejectionLine.contains(" clients=" + IDLE_CLIENT_COUNT + " "), rejectionLine);
+        for (Socket client : clients) {
+            client.close();
         }
     }
 
-    /** Guards against requests that are read while nothing can forward or reject them yet. */
+    /** Guards against reading requests before the actors can forward or reject them. */
     @Test
-    void listensOnceTheActorsRun() {
+    void theSidecarListensOnlyOnceItsActorsRun() {
         String logged = log.toString(ISO_8859_1);
         int actorsRun = logged.indexOf("endpoint list: ");
         int listening = logged.indexOf("listening: ");
         assertTrue(actorsRun >= 0 && actorsRun < listening, logged);
     }
 
-    /** Guards against a deadline that counts from the answer to the request before. */
+    /** Guards against a deadline that counts from the answer to the previous request. */
     @Test
-    void thePipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
+    void aPipelinedRequestsDeadlineCountsFromItsArrival() throws Exception {
         try (Socket client = connect()) {
             write(client, SidecarFixture.issue("a", 700) + SidecarFixture.read("b", 300));
             upstream.next();
             assertEquals(502, Message.read(client.getInputStream()).status());
             long start = System.nanoTime();
             assertEquals(429, Message.read(client.getInputStream()).status());
-            assertTrue(System.nanoTime() - start < 0.2e9, "waits once more");
-            assertEquals(0, upstream.seen.size(), "sent for a client whose time is over");
+            assertTrue(System.nanoTime() - start < 0.2e9, "the deadline counted from the previous answer");
+            assertEquals(0, upstream.seen.size(), "the request was sent although its deadline had passed");
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
@@ -48,17 +48,20 @@
 import portrelay.net.upstream.IncomingRequest;
 import portrelay.net.upstream.UpstreamActor;
 
-/** docs/crossings.md, "Retries and copies", "Dials" and "Idle connections": one upstream, a manual clock. */
+/**
+ * Races between attempts, connects and idle connections of one upstream, with a manual clock; see docs/crossings.md,
+ * "Retries and copies", "Dials" and "Idle connections".
+ */
 @Timeout(20)
 class UpstreamCrossingsTest {
 
-    private static final InetAddress HOME = InetAddress.getLoopbackAddress();
-    private static final AttemptId ONE = new AttemptId(new RequestId("a 1"), 0);
-    private static final AttemptId TWO = new AttemptId(new RequestId("b 2"), 0);
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final AttemptId FIRST_ATTEMPT = new AttemptId(new RequestId("a 1"), 0);
+    private static final AttemptId SECOND_ATTEMPT = new AttemptId(new RequestId("b 2"), 0);
 
-    private record Ended(AttemptId id, Outcome outcome, String body) {}
+    private record EndedAttempt(AttemptId id, Outcome outcome, String body) {}
 
-    private final BlockingQueue<Ended> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EndedAttempt> endedAttempts = new LinkedBlockingQueue<>();
     private XnioWorker worker;
     private ManualEventLoop clock;
     private Connector connector;
@@ -77,17 +80,18 @@
     }
 
     private UpstreamActor actor(int port) {
-        Log none = new Log(new PrintStream(OutputStream.nullOutputStream()), "t");
-        UpstreamActor.Listener tells = (id, outcome, answer) ->
-                ended.add(new Ended(id, outcome, answer == null ? null : new String(answer.body(), ISO_8859_1)));
-        return new UpstreamActor(clock, none, connector, tells, 0.1, 1, new InetSocketAddress(HOME, port));
+        Log discardedLog = new Log(new PrintStream(OutputStream.nullOutputStream()), "t");
+        UpstreamActor.Listener listener = (id, outcome, answer) -> endedAttempts.add(
+                new EndedAttempt(id, outcome, answer == null ? null : new String(answer.body(), ISO_8859_1)));
+        return new UpstreamActor(
+                clock, discardedLog, connector, listener, 0.1, 1, new InetSocketAddress(LOOPBACK, port));
     }
 
     private IncomingRequest request(String id) {
         HeaderMap headers = new HeaderMap();
         headers.put(Headers.HOST, "app.svc");
         headers.put(WireNames.REQUEST_ID, id);
-        IncomingRequest.Responder nobody = new IncomingRequest.Responder() {
+        IncomingRequest.Responder unusedResponder = new IncomingRequest.Responder() {
             @Override
             public boolean isOver() {
                 return false;
@@ -108,157 +112,167 @@
                 throw new AssertionError();
             }
         };
-        double cutOffAt = clock.now() + 1;
+        double deadline = clock.now() + 1;
         RequestArrival arrival =
-                new RequestArrival(new RequestId(id), new RequestClassId(0), null, null, cutOffAt, Double.NaN, false);
-        return new IncomingRequest(arrival, Methods.GET, "/read/x", headers, HttpCall.NO_BODY, null, nobody);
+                new RequestArrival(new RequestId(id), new RequestClassId(0), null, null, deadline, Double.NaN, false);
+        return new IncomingRequest(arrival, Methods.GET, "/read/x", headers, HttpCall.NO_BODY, null, unusedResponder);
     }
 
-    private Ended next() throws InterruptedException {
-        Ended next = ended.poll(5, TimeUnit.SECONDS);
-        assertNotNull(next, "nothing ended");
-        return next;
+    private EndedAttempt nextEndedAttempt() throws InterruptedException {
+        EndedAttempt attempt = endedAttempts.poll(5, TimeUnit.SECONDS);
+        assertNotNull(attempt, "no attempt ended within 5 s");
+        return attempt;
     }
 
-    private int connections() throws Exception {
+    private int openConnections() throws Exception {
         AtomicInteger open = new AtomicInteger();
         HeldEventLoop.on(clock, () -> open.set(connector.openCount()));
         return open.get();
     }
 
-    /** Each event that makes an upstream unusable. */
-    private List<Runnable> ends(UpstreamActor actor, int port) {
-        InetSocketAddress same = new InetSocketAddress(HOME, port);
-        InetSocketAddress other = new InetSocketAddress(HOME, port == 9 ? 10 : 9);
+    /** Returns the events that make an upstream unusable: closed, draining, moved to another address, disabled. */
+    private List<Runnable> unusableEvents(UpstreamActor actor, int port) {
+        InetSocketAddress sameAddress = new InetSocketAddress(LOOPBACK, port);
+        InetSocketAddress otherAddress = new InetSocketAddress(LOOPBACK, port == 9 ? 10 : 9);
         return List.of(
                 actor::close,
-                () -> actor.endpointUpdated(same, true),
-                () -> actor.endpointUpdated(other, false),
+                () -> actor.endpointUpdated(sameAddress, true),
+                () -> actor.endpointUpdated(otherAddress, false),
                 () -> actor.setDisabled(true));
     }
 
-    /** Guards against an attempt sent to an actor that is closed already: it stayed counted until its deadline. */
+    /** Guards against an attempt to an actor that is already closed staying in flight until its deadline. */
     @Test
     void anAttemptToAnUnusableUpstreamEndsAtOnceAsNotExecuted() throws Exception {
         for (int i : new int[] {0, 1, 3}) {
             try (ScriptedServer upstream = new ScriptedServer(SILENT)) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                Runnable end = ends(actor, upstream.serverSocket.getLocalPort()).get(i);
+                Runnable makeUnusable = unusableEvents(actor, upstream.serverSocket.getLocalPort())
+                        .get(i);
                 HeldEventLoop.on(clock, () -> {
-                    end.run();
-                    actor.sendAttempt(ONE, request("a"));
+                    makeUnusable.run();
+                    actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                 });
-                assertEquals(new Ended(ONE, Outcome.CONNECT_FAILED, null), next());
+                assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.CONNECT_FAILED, null), nextEndedAttempt());
                 HeldEventLoop.settled(clock);
                 assertEquals(0, upstream.accepted.size());
-                assertEquals(0, connections());
+                assertEquals(0, openConnections());
             }
         }
     }
 
-    /** The other order: the connect is under way when the upstream becomes unusable. */
+    /** The connect is already in progress when the upstream becomes unusable. */
     @Test
     void aPendingConnectIsCancelledWhenItsUpstreamBecomesUnusable() throws Exception {
         for (int i = 0; i < 4; i++) {
-            List<Socket> full = new ArrayList<>();
-            try (ServerSocket slow = new ServerSocket(0, 1, HOME)) {
-                full.add(new Socket(HOME, slow.getLocalPort()));
-                full.add(new Socket(HOME, slow.getLocalPort()));
-                UpstreamActor actor = actor(slow.getLocalPort());
-                Runnable end = ends(actor, slow.getLocalPort()).get(i);
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
-                assertEquals(1, connections());
-                HeldEventLoop.on(clock, end);
-                assertEquals(new Ended(ONE, Outcome.CONNECT_FAILED, null), next());
-                assertEquals(0, connections());
+            // Two connections fill the listen queue, so that a further connect stays pending.
+            List<Socket> queueFillers = new ArrayList<>();
+            try (ServerSocket fullServer = new ServerSocket(0, 1, LOOPBACK)) {
+                queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+                queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+                UpstreamActor actor = actor(fullServer.getLocalPort());
+                Runnable makeUnusable =
+                        unusableEvents(actor, fullServer.getLocalPort()).get(i);
+                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+                assertEquals(1, openConnections());
+                HeldEventLoop.on(clock, makeUnusable);
+                assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.CONNECT_FAILED, null), nextEndedAttempt());
+                assertEquals(0, openConnections());
             } finally {
-                for (Socket each : full) {
-                    each.close();
+                for (Socket filler : queueFillers) {
+                    filler.close();
                 }
             }
         }
     }
 
-    /** The connection is open in the kernel when the upstream becomes unusable, in one loop iteration. */
+    /** The kernel opens the connection in the loop iteration in which the upstream becomes unusable. */
     @Test
     void aConnectionThatOpensAsItsUpstreamBecomesUnusableIsNotWrittenTo() throws Exception {
         for (int i = 0; i < 4; i++) {
-            try (ServerSocket serverSocket = new ServerSocket(0, 5, HOME)) {
+            try (ServerSocket serverSocket = new ServerSocket(0, 5, LOOPBACK)) {
                 UpstreamActor actor = actor(serverSocket.getLocalPort());
-                Runnable end = ends(actor, serverSocket.getLocalPort()).get(i);
-                BlockingQueue<Socket> up = new LinkedBlockingQueue<>();
-                // The mailbox begins the connect first, then the second task runs.
+                Runnable makeUnusable =
+                        unusableEvents(actor, serverSocket.getLocalPort()).get(i);
+                BlockingQueue<Socket> acceptedSockets = new LinkedBlockingQueue<>();
+                // The mailbox runs the connect first, then the second task.
                 HeldEventLoop.on(clock, () -> {
-                    actor.sendAttempt(ONE, request("a"));
+                    actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                     clock.execute(() -> {
                         try {
-                            up.add(serverSocket.accept());
+                            acceptedSockets.add(serverSocket.accept());
                         } catch (Exception e) {
                             throw new AssertionError(e);
                         }
-                        end.run();
+                        makeUnusable.run();
                     });
                 });
-                assertEquals(new Ended(ONE, Outcome.CONNECT_FAILED, null), next());
-                assertEquals(-1, up.poll(5, TimeUnit.SECONDS).getInputStream().read(), "written to");
-                assertEquals(0, connections());
+                assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.CONNECT_FAILED, null), nextEndedAttempt());
+                assertEquals(
+                        -1,
+                        acceptedSockets
+                                .poll(5, TimeUnit.SECONDS)
+                                .getInputStream()
+                                .read(),
+                        "the request was written to the unusable upstream");
+                assertEquals(0, openConnections());
             }
         }
     }
 
-    /** Guards against an upstream that answers twice, the second time after the next request was written. */
+    /** Guards against an upstream that answers a request twice, the second time after the next request was written. */
     @Test
-    void aLateSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
-        try (ScriptedServer upstream = new ScriptedServer((message, on) -> {
+    void aLateSecondAnswerIsNotGivenToTheNextRequest() throws Exception {
+        try (ScriptedServer upstream = new ScriptedServer((message, socket) -> {
             boolean first = "a".equals(message.header("X-Trace-Id"));
-            answer("200 OK", first ? "first" : "second").play(message, on);
+            answer("200 OK", first ? "first" : "second").play(message, socket);
         })) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
-            assertEquals(new Ended(ONE, Outcome.SERVED, "first"), next());
+            HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+            assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.SERVED, "first"), nextEndedAttempt());
             upstream.script = SILENT;
             HeldEventLoop.on(clock, () -> {
                 clock.forward(0.005);
-                actor.sendAttempt(TWO, request("b"));
+                actor.sendAttempt(SECOND_ATTEMPT, request("b"));
             });
             upstream.next();
             upstream.next();
-            // On the first connection, behind its answer; the second request has been sent by now.
+            // A second answer on the first connection, after the second request has been sent.
             answer("200 OK", "first").play(null, upstream.accepted.get(0));
             HeldEventLoop.settled(clock);
-            assertNull(ended.poll(), "another's answer was taken");
+            assertNull(endedAttempts.poll(), "the first request's extra answer was given to the second request");
             answer("200 OK", "second").play(null, upstream.accepted.get(1));
-            assertEquals(new Ended(TWO, Outcome.SERVED, "second"), next());
-            // The extra answer is not taken for a later request's either, however long the connection was idle.
+            assertEquals(new EndedAttempt(SECOND_ATTEMPT, Outcome.SERVED, "second"), nextEndedAttempt());
+            // However long the connection was idle, the extra answer is not given to a later request either.
             upstream.accepted.get(1).close();
             HeldEventLoop.settled(clock);
             upstream.script = answer("200 OK", "third");
             HeldEventLoop.on(clock, () -> {
                 clock.forward(0.02);
-                actor.sendAttempt(ONE, request("c"));
+                actor.sendAttempt(FIRST_ATTEMPT, request("c"));
             });
-            assertEquals(new Ended(ONE, Outcome.SERVED, "third"), next());
+            assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.SERVED, "third"), nextEndedAttempt());
             HeldEventLoop.settled(clock);
-            assertEquals(1, connections(), "the one that brought two answers is held");
+            assertEquals(1, openConnections(), "the connection that brought two answers is kept");
         }
     }
 
-    /** Guards against a duplicate execution by a retry whose connect outlasted its deduplication window. */
+    /** Guards against a duplicate execution by a retry whose connect outlasts its deduplication window. */
     @Test
     void aRetryConnectedAfterItsDeduplicationWindowIsNotWritten() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
             HeldEventLoop.on(clock, () -> {
-                actor.sendAttempt(ONE, request("a"), clock.now() + 0.05);
+                actor.sendAttempt(FIRST_ATTEMPT, request("a"), clock.now() + 0.05);
                 clock.execute(() -> clock.forward(0.06));
             });
-            assertEquals(new Ended(ONE, Outcome.NOT_SENT, null), next());
+            assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.NOT_SENT, null), nextEndedAttempt());
             HeldEventLoop.settled(clock);
             assertEquals(0, upstream.seen.size());
         }
     }
 
-    /** The newest first. */
+    /** Idle connections are reused newest first. */
     @Test
     void anIdleConnectionIsReused() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
@@ -266,137 +280,141 @@
             for (int i = 0; i < 5; i++) {
                 HeldEventLoop.on(clock, () -> {
                     clock.forward(0.02);
-                    actor.sendAttempt(ONE, request("a"));
+                    actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                 });
-                next();
+                nextEndedAttempt();
             }
             assertEquals(1, upstream.accepted.size());
         }
     }
 
-    /** A close or a reset that is unread when the next request is to be written. */
+    /** The loop has not read the upstream's close or reset when the next request is to be written. */
     @Test
     void anIdleConnectionWithAnUnreadCloseIsNotWrittenTo() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
             try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
-                next();
+                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+                nextEndedAttempt();
                 HeldEventLoop.on(clock, () -> clock.forward(0.02));
-                Socket to = upstream.accepted.get(0);
-                int local = to.getLocalPort();
-                int port = to.getPort();
+                Socket upstreamSocket = upstream.accepted.get(0);
+                int localPort = upstreamSocket.getLocalPort();
+                int remotePort = upstreamSocket.getPort();
                 try (HeldEventLoop held = new HeldEventLoop(clock)) {
-                    to.setSoLinger(reset, 0);
-                    to.close();
-                    HeldEventLoop.ended(to, local, port);
-                    // In the mailbox before the loop polls the kernel.
-                    actor.sendAttempt(TWO, request("b"));
+                    upstreamSocket.setSoLinger(reset, 0);
+                    upstreamSocket.close();
+                    HeldEventLoop.ended(upstreamSocket, localPort, remotePort);
+                    // The attempt is in the mailbox before the loop polls the kernel.
+                    actor.sendAttempt(SECOND_ATTEMPT, request("b"));
                     held.letGo();
                 }
-                assertEquals(new Ended(TWO, Outcome.SERVED, "u"), next());
+                assertEquals(new EndedAttempt(SECOND_ATTEMPT, Outcome.SERVED, "u"), nextEndedAttempt());
                 assertEquals(2, upstream.accepted.size());
-                assertEquals(1, connections());
+                assertEquals(1, openConnections());
             }
         }
     }
 
-    /** The answer is in the kernel when the cancel is in the mailbox. */
+    /** The answer is unread in the kernel while the cancel is in the mailbox. */
     @Test
-    void aCancelAndAnAnswerThatCrossEndTheAttemptOnce() throws Exception {
-        for (boolean stopFirst : new boolean[] {true, false}) {
+    void aCancelThatRacesWithTheAnswerEndsTheAttemptOnce() throws Exception {
+        for (boolean isCancelFirst : new boolean[] {true, false}) {
             try (ScriptedServer upstream = new ScriptedServer(SILENT)) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(ONE, request("a")));
+                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
                 upstream.next();
                 try (HeldEventLoop held = new HeldEventLoop(clock)) {
-                    Socket to = upstream.accepted.get(0);
-                    answer("200 OK", "u").play(null, to);
-                    HeldEventLoop.unread(to, 10);
-                    if (stopFirst) {
-                        actor.cancelAttempt(ONE, Outcome.TIMED_OUT);
+                    Socket upstreamSocket = upstream.accepted.get(0);
+                    answer("200 OK", "u").play(null, upstreamSocket);
+                    HeldEventLoop.unread(upstreamSocket, 10);
+                    if (isCancelFirst) {
+                        actor.cancelAttempt(FIRST_ATTEMPT, Outcome.TIMED_OUT);
                     } else {
-                        clock.execute(() -> clock.afterPoll(() -> actor.cancelAttempt(ONE, Outcome.TIMED_OUT)));
+                        clock.execute(
+                                () -> clock.afterPoll(() -> actor.cancelAttempt(FIRST_ATTEMPT, Outcome.TIMED_OUT)));
                     }
                     held.letGo();
                 }
-                assertEquals(stopFirst ? Outcome.TIMED_OUT : Outcome.SERVED, next().outcome);
+                assertEquals(isCancelFirst ? Outcome.TIMED_OUT : Outcome.SERVED, nextEndedAttempt().outcome);
                 HeldEventLoop.settled(clock);
-                assertTrue(ended.isEmpty(), "ended twice");
-                assertEquals(stopFirst ? 0 : 1, connections());
+                assertTrue(endedAttempts.isEmpty(), "the attempt ended twice");
+                assertEquals(isCancelFirst ? 0 : 1, openConnections());
             }
         }
     }
 
-    /** After a connect refused, timed out, cancelled, closed by either side, or without a free descriptor. */
+    /** Covers connects that were refused, timed out or cancelled, closes by either side, and the connection limit. */
     @Test
-    void theConnectionCountIsZeroOnceAllAreClosed() throws Exception {
-        int nobody;
-        try (ServerSocket free = new ServerSocket(0, 1, HOME)) {
-            nobody = free.getLocalPort();
+    void theConnectionCountIsZeroOnceAllConnectionsAreClosed() throws Exception {
+        int unusedPort;
+        try (ServerSocket free = new ServerSocket(0, 1, LOOPBACK)) {
+            unusedPort = free.getLocalPort();
         }
-        UpstreamActor refused = actor(nobody);
-        HeldEventLoop.on(clock, () -> refused.sendAttempt(ONE, request("a")));
-        assertEquals(Outcome.CONNECT_FAILED, next().outcome);
-        assertEquals(0, connections());
-        List<Socket> full = new ArrayList<>();
-        try (ServerSocket slow = new ServerSocket(0, 1, HOME);
+        UpstreamActor refusing = actor(unusedPort);
+        HeldEventLoop.on(clock, () -> refusing.sendAttempt(FIRST_ATTEMPT, request("a")));
+        assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
+        assertEquals(0, openConnections());
+        // Two connections fill the listen queue, so that a further connect stays pending.
+        List<Socket> queueFillers = new ArrayList<>();
+        try (ServerSocket fullServer = new ServerSocket(0, 1, LOOPBACK);
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
-            full.add(new Socket(HOME, slow.getLocalPort()));
-            full.add(new Socket(HOME, slow.getLocalPort()));
-            UpstreamActor hangs = actor(slow.getLocalPort());
-            HeldEventLoop.on(clock, () -> hangs.sendAttempt(ONE, request("a")));
-            assertEquals(1, connections());
+            queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+            queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+            UpstreamActor hanging = actor(fullServer.getLocalPort());
+            HeldEventLoop.on(clock, () -> hanging.sendAttempt(FIRST_ATTEMPT, request("a")));
+            assertEquals(1, openConnections());
             HeldEventLoop.on(clock, () -> clock.forward(0.2));
-            assertEquals(Outcome.CONNECT_FAILED, next().outcome);
-            assertEquals(0, connections());
+            assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
+            assertEquals(0, openConnections());
             HeldEventLoop.on(clock, () -> {
-                hangs.sendAttempt(ONE, request("a"));
-                hangs.cancelAttempt(ONE, Outcome.CANCELLED);
+                hanging.sendAttempt(FIRST_ATTEMPT, request("a"));
+                hanging.cancelAttempt(FIRST_ATTEMPT, Outcome.CANCELLED);
             });
-            assertEquals(Outcome.CANCELLED, next().outcome);
-            assertEquals(0, connections());
-            UpstreamActor usual = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> usual.sendAttempt(ONE, request("a")));
-            next();
-            assertEquals(1, connections());
+            assertEquals(Outcome.CANCELLED, nextEndedAttempt().outcome);
+            assertEquals(0, openConnections());
+            UpstreamActor reachable = actor(upstream.serverSocket.getLocalPort());
+            HeldEventLoop.on(clock, () -> reachable.sendAttempt(FIRST_ATTEMPT, request("a")));
+            nextEndedAttempt();
+            assertEquals(1, openConnections());
             upstream.accepted.get(0).close();
             HeldEventLoop.settled(clock);
-            assertEquals(0, connections());
-            // Five at once, where four are allowed.
+            assertEquals(0, openConnections());
+            // Five at once; four are allowed.
             upstream.script = SILENT;
             for (int i = 0; i < 5; i++) {
-                AttemptId each = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> usual.sendAttempt(each, request("q")));
+                AttemptId attempt = new AttemptId(new RequestId("q" + i), 0);
+                HeldEventLoop.on(clock, () -> reachable.sendAttempt(attempt, request("q")));
             }
-            assertEquals(Outcome.CONNECT_FAILED, next().outcome);
-            assertEquals(4, connections());
+            assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
+            assertEquals(4, openConnections());
             for (int i = 0; i < 5; i++) {
-                AttemptId each = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> usual.cancelAttempt(each, Outcome.TIMED_OUT));
+                AttemptId attempt = new AttemptId(new RequestId("q" + i), 0);
+                HeldEventLoop.on(clock, () -> reachable.cancelAttempt(attempt, Outcome.TIMED_OUT));
             }
             HeldEventLoop.settled(clock);
-            assertEquals(0, connections());
+            assertEquals(0, openConnections());
         } finally {
-            for (Socket each : full) {
-                each.close();
+            for (Socket filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
-    /** In a whole sidecar. */
+    /** Runs in a complete sidecar. */
     @Test
     void aRequestThatWaitsForAConnectIsSentElsewhereWhenItsUpstreamDrains() throws Exception {
-        List<Socket> full = new ArrayList<>();
-        try (ServerSocket slow = new ServerSocket(0, 1, HOME);
+        // Two connections fill the listen queue, so that a further connect stays pending.
+        List<Socket> queueFillers = new ArrayList<>();
+        try (ServerSocket fullServer = new ServerSocket(0, 1, LOOPBACK);
                 ScriptedServer other = new ScriptedServer(answer("200 OK", "other"));
                 SidecarFixture fixture = new SidecarFixture(
                         1024, "{}", config -> config.replace("dial-timeout-us\":150000", "dial-timeout-us\":900000"))) {
-            full.add(new Socket(HOME, slow.getLocalPort()));
-            full.add(new Socket(HOME, slow.getLocalPort()));
-            String at = "127.0.0.1:" + slow.getLocalPort();
+            queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+            queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
+            String fullServerAddress = "127.0.0.1:" + fullServer.getLocalPort();
             fixture.discovery.next();
-            String list = "{\"seq\":9,\"whole\":true,\"hosts\":[" + SidecarFixture.host("slow", at, "SERVING") + "]}";
+            String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
+                    + SidecarFixture.host("slow", fullServerAddress, "SERVING") + "]}";
             answer("200 OK", list).play(null, fixture.discovery.accepted.get(0));
             fixture.discovery.next();
             Socket client = fixture.connect();
@@ -405,39 +423,40 @@
             while (open.get() == 0) {
                 HeldEventLoop.on(fixture.sidecar.loop, () -> open.set(fixture.sidecar.upstreamConnector.openCount()));
             }
-            String rows = SidecarFixture.host("slow", at, "DRAINING") + ","
+            String rows = SidecarFixture.host("slow", fullServerAddress, "DRAINING") + ","
                     + SidecarFixture.host("other", other.address(), "SERVING");
             answer("200 OK", "{\"seq\":10,\"whole\":false,\"hosts\":[" + rows + "]}")
                     .play(null, fixture.discovery.accepted.get(0));
             long start = System.nanoTime();
-            Message got = Message.read(client.getInputStream());
-            assertEquals("other", new String(got.body(), ISO_8859_1));
-            assertTrue(System.nanoTime() - start < 0.5e9, "waited for the connect");
+            Message response = Message.read(client.getInputStream());
+            assertEquals("other", new String(response.body(), ISO_8859_1));
+            assertTrue(
+                    System.nanoTime() - start < 0.5e9, "the request waited for the connect to the draining upstream");
         } finally {
-            for (Socket each : full) {
-                each.close();
+            for (Socket filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
-    /** A client's request is unread in the kernel when its connection has been idle for too long. */
+    /** Guards against closing a connection at its idle timeout while a request on it is unread in the kernel. */
     @Test
     void anIdleClientConnectionIsReadBeforeItIsClosed() throws Exception {
         String admission = "{\"connections\":{\"idle-most-ms\":1000,\"send-within-ms\":1000,\"idle-least\":64}}";
         try (SidecarFixture fixture = new SidecarFixture(1024, admission, answer("200 OK", "u"))) {
             Socket idle = fixture.connect();
             Socket silent = fixture.connect();
-            Socket half = fixture.connect();
+            Socket partial = fixture.connect();
             assertEquals(
                     200, SidecarFixture.ask(idle, SidecarFixture.read("a", 900)).status());
-            half.getOutputStream()
+            partial.getOutputStream()
                     .write(SidecarFixture.read("h", 900).substring(0, 40).getBytes(ISO_8859_1));
             HeldEventLoop.settled(fixture.sidecar.loop);
             try (HeldEventLoop held = new HeldEventLoop(fixture.sidecar.loop)) {
                 long start = System.nanoTime();
                 idle.getOutputStream().write(SidecarFixture.read("b", 900).getBytes(ISO_8859_1));
                 silent.getOutputStream().write(SidecarFixture.read("c", 900).getBytes(ISO_8859_1));
-                half.getOutputStream()
+                partial.getOutputStream()
                         .write(SidecarFixture.read("h", 900).substring(40).getBytes(ISO_8859_1));
                 HeldEventLoop.unread(silent, SidecarFixture.read("c", 900).length());
                 while (System.nanoTime() - start < 1_300_000_000L) {
@@ -445,12 +464,12 @@
                 }
                 held.letGo();
             }
-            for (Socket each : List.of(idle, silent, half)) {
-                Message got = Message.read(each.getInputStream());
-                assertNotNull(got, "closed unread");
-                assertEquals(200, got.status());
+            for (Socket client : List.of(idle, silent, partial)) {
+                Message response = Message.read(client.getInputStream());
+                assertNotNull(response, "the connection was closed with its request unread");
+                assertEquals(200, response.status());
             }
-            // A silent one is closed.
+            // The connection is closed once it is idle again.
             assertEquals(-1, idle.getInputStream().read());
         }
     }
--- a/daemon/src/test/java/portrelay/net/WireFormatTest.java
+++ b/daemon/src/test/java/portrelay/net/WireFormatTest.java
@@ -37,16 +37,16 @@
 import portrelay.net.lifecycle.SidecarConfig;
 
 /**
- * The bytes that clients, upstreams, discovery, operators, peers and a successor process see, as commit 5d52c72 wrote
- * them. Guards against a rename in the code that reaches the wire or a stored file. Only what differs from run to run
- * (ports, times left) is masked.
+ * Compares the bytes that clients, upstreams, discovery, operators, peers and a successor process see with those that
+ * commit 5d52c72 wrote. Guards against a rename in the code that changes the wire or a stored file. Only values that
+ * differ from run to run (ports, remaining times) are masked.
  */
 @Timeout(60)
 class WireFormatTest {
 
     private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)\r\ncontent-length: (\\d+)\r\n");
 
-    /** With the hash of the sidecar's name, "t". */
+    /** Contains the hash of the sidecar's name, "t". */
     private static final String HANDOVER_PREFIX = "portrelay-af63e94c860202a3-";
 
     @TempDir
@@ -57,7 +57,7 @@
         LogManager.getLogManager().reset();
     }
 
-    /** A server on loopback that keeps the bytes of each request and answers all with the same bytes. */
+    /** A server on loopback that records the bytes of each request and sends the same response to all. */
     private static final class RecordingServer implements AutoCloseable {
 
         private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -66,10 +66,10 @@
 
         RecordingServer(String response) throws IOException {
             this.response = response;
-            daemon(this::accept);
+            startDaemon(this::accept);
         }
 
-        private static void daemon(Runnable task) {
+        private static void startDaemon(Runnable task) {
             Thread thread = new Thread(task);
             thread.setDaemon(true);
             thread.start();
@@ -81,7 +81,7 @@
 
         String next() throws InterruptedException {
             String request = requests.poll(10, TimeUnit.SECONDS);
-            assertTrue(request != null, "no request came");
+            assertTrue(request != null, "no request within 10 s");
             return request;
         }
 
@@ -89,7 +89,7 @@
             try {
                 while (true) {
                     Socket connection = listener.accept();
-                    daemon(() -> serve(connection));
+                    startDaemon(() -> serve(connection));
                 }
             } catch (IOException e) {
                 // Closed with the test.
@@ -98,9 +98,9 @@
 
         private void serve(Socket connection) {
             try (connection) {
-                for (String request = message(connection.getInputStream());
+                for (String request = readMessage(connection.getInputStream());
                         request != null;
-                        request = message(connection.getInputStream())) {
+                        request = readMessage(connection.getInputStream())) {
                     requests.add(request);
                     if (response != null) {
                         connection.getOutputStream().write(response.getBytes(ISO_8859_1));
@@ -117,8 +117,8 @@
         }
     }
 
-    /** One HTTP message as its bytes came; null at the end of the stream. */
-    private static String message(InputStream in) throws IOException {
+    /** Reads one HTTP message as raw bytes; returns null at the end of the stream. */
+    private static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(ISO_8859_1).endsWith("\r\n\r\n")) {
             int next = in.read();
@@ -134,38 +134,38 @@
         return bytes.toString(ISO_8859_1);
     }
 
-    private static String exchange(InetSocketAddress at, String request) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    private static String exchange(InetSocketAddress address, String request) throws IOException {
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(request.getBytes(ISO_8859_1));
-            return message(socket.getInputStream());
+            return readMessage(socket.getInputStream());
         }
     }
 
-    private static String list(String... hosts) {
+    private static String endpointList(String... hosts) {
         return "{\"seq\":7,\"whole\":true,\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
     private static Sidecar start(String config, Path handover) throws Exception {
-        PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream());
-        return Sidecar.start(SidecarConfig.parse(config.getBytes(UTF_8)), nowhere, handover);
+        PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
+        return Sidecar.start(SidecarConfig.parse(config.getBytes(UTF_8)), discardedLog, handover);
     }
 
-    /** With times that no busy machine uses up. */
+    /** Returns a configuration whose deadlines do not pass even on a busy machine. */
     private static String config(String discovery, String known) {
         return SidecarFixture.config(discovery, known, 1024)
                 .replace("\"hard-limit-us\":1000000", "\"hard-limit-us\":20000000")
                 .replace("\"aim-us\":600000", "\"aim-us\":10000000");
     }
 
-    /** The recorded bytes stand in src/test/resources/portrelay/net/wire. */
+    /** Compares with the bytes recorded in src/test/resources/portrelay/net/wire. */
     private static void assertRecorded(String name, String actual) throws IOException {
         try (InputStream recorded = WireFormatTest.class.getResourceAsStream("wire/" + name + ".bytes")) {
             assertEquals(new String(recorded.readAllBytes(), ISO_8859_1), actual, name);
         }
     }
 
-    /** Sets are written in an order of their own in each process. */
+    /** Returns the state without the order of its sets, which differs from process to process. */
     private static Map<String, Object> withoutOrder(String json) throws IOException {
         Map<String, Object> tree = new HashMap<>();
         ((Map<?, ?>) JsonTree.parse(json.getBytes(UTF_8))).forEach((name, value) -> tree.put((String) name, value));
@@ -180,11 +180,13 @@
     }
 
     @Test
-    void upstreamsSeeTheRequestWithItsHeadersAndTheTimeThatIsLeft() throws Exception {
+    void upstreamsReceiveTheRequestWithItsHeadersAndRemainingTime() throws Exception {
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                endpointList(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
                         null)) {
             exchange(
                     sidecar.address(),
@@ -202,13 +204,15 @@
     }
 
     @Test
-    void clientsSeeTheAnswerOrOneOfTheFinalStatuses() throws Exception {
+    void clientsReceiveTheResponseOrTheErrorOfAnInvalidRequest() throws Exception {
         String served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Other: kept\r\nContent-Type: text/plain\r\n"
                 + "Keep-Alive: timeout=5\r\n\r\nok";
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(served);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                endpointList(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
                         null)) {
             assertRecorded("client-served", masked(exchange(sidecar.address(), SidecarFixture.read("a", 15_000))));
             assertRecorded("client-up", masked(exchange(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")));
@@ -222,28 +226,32 @@
     }
 
     @Test
-    void clientsSeeRejectionAndFailure() throws Exception {
+    void clientsReceiveRejectionAndFailure() throws Exception {
         String busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nX-Never-Ran: 1\r\n\r\n";
         String broken = "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(busy);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                endpointList(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
                         null)) {
             assertRecorded("client-rejected", masked(exchange(sidecar.address(), SidecarFixture.issue("a", 15_000))));
         }
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer(broken);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
+                        config(
+                                discovery.address(),
+                                endpointList(SidecarFixture.host("s-0", upstream.address(), "SERVING"))),
                         null)) {
             assertRecorded("client-failed", masked(exchange(sidecar.address(), SidecarFixture.issue("a", 15_000))));
         }
     }
 
     @Test
-    void discoverySeesACallForTheWholeListAndThenAWatch() throws Exception {
-        String first = list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"));
+    void discoveryReceivesACallForTheCompleteListAndThenAWatch() throws Exception {
+        String first = endpointList(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"));
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + first.length() + "\r\n\r\n" + first;
         try (RecordingServer discovery = new RecordingServer(answer);
                 Sidecar sidecar = start(config(discovery.address(), "{\"seq\":1,\"hosts\":[]}"), null)) {
@@ -254,12 +262,12 @@
     }
 
     @Test
-    void operatorsSeeTheAnswersOfTheirCalls() throws Exception {
+    void operatorsReceiveTheResponsesToTheirCalls() throws Exception {
         try (RecordingServer discovery = new RecordingServer(null);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"))),
+                        config(discovery.address(), endpointList(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING"))),
                         null)) {
-            StringBuilder seen = new StringBuilder();
+            StringBuilder responses = new StringBuilder();
             for (String line : new String[] {
                 "GET /control/ready",
                 "PUT /control/out-of-service",
@@ -270,15 +278,16 @@
                 "GET /control/in-service",
                 "GET /control/other",
             }) {
-                seen.append(exchange(sidecar.adminAddress(), line + " HTTP/1.1\r\nHost: a\r\n\r\n"))
+                responses
+                        .append(exchange(sidecar.adminAddress(), line + " HTTP/1.1\r\nHost: a\r\n\r\n"))
                         .append("\n--\n");
             }
-            assertRecorded("operators", masked(seen.toString()));
+            assertRecorded("operators", masked(responses.toString()));
         }
     }
 
     @Test
-    void peersSeeTheStartAndTheEndOfAnAttempt() throws Exception {
+    void peersReceiveTheStartAndTheEndOfAnAttempt() throws Exception {
         try (RecordingServer discovery = new RecordingServer(null);
                 RecordingServer upstream = new RecordingServer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 DatagramSocket free = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -286,7 +295,9 @@
             peer.setSoTimeout(10_000);
             String own = "\"127.0.0.1:" + free.getLocalPort() + "\"";
             free.close();
-            String config = config(discovery.address(), list(SidecarFixture.host("s-0", upstream.address(), "SERVING")))
+            String config = config(
+                            discovery.address(),
+                            endpointList(SidecarFixture.host("s-0", upstream.address(), "SERVING")))
                     .replace("\"siblings\":1", "\"siblings\":2,\"me\":0")
                     .replace("\"allowed\":{", "\"allowed\":{\"peers\":true,")
                     .replace(
@@ -295,42 +306,44 @@
                                     + "\"],\"seed\"");
             try (Sidecar sidecar = start(config, null)) {
                 exchange(sidecar.address(), SidecarFixture.read("a", 15_000));
-                assertRecorded("peer-started", datagram(peer));
-                // The last character tells how long the attempt took.
-                assertRecorded("peer-ended", datagram(peer).substring(0, 4));
+                assertRecorded("peer-started", receiveDatagram(peer));
+                // The last character encodes how long the attempt took.
+                assertRecorded("peer-ended", receiveDatagram(peer).substring(0, 4));
             }
         }
     }
 
-    private static String datagram(DatagramSocket at) throws IOException {
+    private static String receiveDatagram(DatagramSocket socket) throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        at.receive(packet);
+        socket.receive(packet);
         return new String(packet.getData(), 0, packet.getLength(), ISO_8859_1);
     }
 
-    /** A successor of this version reads what a process of 5d52c72 left, and writes the same form. */
+    /** A successor of this version reads the state that a process of commit 5d52c72 left, and writes the same form. */
     @Test
-    void theHandoverFileKeepsItsForm() throws Exception {
+    void theHandoverStateFileKeepsItsForm() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         String address = "127.0.0.1:" + port;
-        String left;
+        String predecessorState;
         try (InputStream recorded = WireFormatTest.class.getResourceAsStream("wire/handover-left.bytes")) {
-            left = new String(recorded.readAllBytes(), UTF_8).replace("<address>", address);
+            predecessorState = new String(recorded.readAllBytes(), UTF_8).replace("<address>", address);
         }
-        Files.writeString(handoverFolder.resolve(HANDOVER_PREFIX + "1.state"), left);
+        Files.writeString(handoverFolder.resolve(HANDOVER_PREFIX + "1.state"), predecessorState);
         Files.createFile(handoverFolder.resolve(HANDOVER_PREFIX + "1.lock"));
         try (RecordingServer discovery = new RecordingServer(null);
                 Sidecar sidecar = start(
-                        config(discovery.address(), list(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING")))
+                        config(discovery.address(), endpointList(SidecarFixture.host("s-0", "127.0.0.1:1", "SERVING")))
                                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + address + "\""),
                         handoverFolder)) {
             String up = exchange(sidecar.address(), "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-            assertTrue(up.startsWith("HTTP/1.1 503"), "out of service, as the process before it was told");
+            assertTrue(
+                    up.startsWith("HTTP/1.1 503"),
+                    "not out of service, though an operator call to the previous process set it so");
             Path written = handoverFolder.resolve(HANDOVER_PREFIX + "2.state");
-            assertEquals(withoutOrder(left), withoutOrder(Files.readString(written)));
+            assertEquals(withoutOrder(predecessorState), withoutOrder(Files.readString(written)));
         }
     }
 }
