--- a/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
+++ b/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
@@ -129,7 +129,7 @@
             assertEquals(502, Message.read(client.getInputStream()).status());
             for (String id : new String[] {"b", "c"}) {
                 Message response = Message.read(client.getInputStream());
-                assertNotNull(response, "request " + id + " is lost");
+                assertNotNull(response, id + " is a pipelined request that was lost");
                 assertEquals(429, response.status());
                 assertEquals("0.25", response.header("Retry-After"));
             }
