--- a/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverDirectory.java
@@ -22,14 +22,18 @@
 import portrelay.settings.InvalidSettingException;
 
 /**
- * The files of one sidecar's processes. Each process has a number, higher than those before it, and by that number a
- * lock file, locked for as long as the process lives, and a state file, replaced as a whole. Nothing of another
- * process's files is trusted: what is torn, foreign or of another form is logged once and ignored. Used on the handover
- * thread; opened on the thread that starts the sidecar.
+ * The handover files of one sidecar's processes. Each process has a number that is higher than those of earlier
+ * processes, and two files that are named after the number: a lock file, locked for as long as the process lives, and a
+ * state file, replaced as a whole. The files of other processes are not trusted: a state file that is incomplete,
+ * belongs to another sidecar or has another form is logged once and ignored. Used on the handover thread; opened on the
+ * thread that starts the sidecar.
  */
 final class HandoverDirectory {
 
-    /** Of a state file: the longest list of discovery, 4 MiB as it comes and more as it is written, and the rest. */
+    /**
+     * Longest state file that is read. It holds the longest endpoint list, which is 4 MiB as discovery sends it and
+     * longer as it is written here, and the rest of the state.
+     */
     private static final long MAX_STATE_BYTES = 16 * 1024 * 1024;
 
     private final Path directory;
@@ -39,14 +43,14 @@
     private final Pattern lockFileName;
     private final long ownNumber;
     private final FileChannel ownLock;
-    private final Map<Long, String> versionRead = new HashMap<>();
-    private final Map<Long, HandoverState> statesRead = new HashMap<>();
-    private final Set<Long> logged = new HashSet<>();
+    private final Map<Long, String> readVersions = new HashMap<>();
+    private final Map<Long, HandoverState> readStates = new HashMap<>();
+    private final Set<Long> loggedNumbers = new HashSet<>();
 
     /**
-     * Takes the next number and its lock.
+     * Takes the next number and locks its lock file.
      *
-     * @throws IOException where the directory is missing or not writable, or another process takes the number too
+     * @throws IOException if the directory is missing or not writable, or if another process takes the same number
      */
     HandoverDirectory(Path directory, String sidecarName, Log log) throws IOException {
         this.directory = directory;
@@ -55,7 +59,7 @@
         prefix = "portrelay-" + Long.toHexString(Hash.of(sidecarName)) + "-";
         lockFileName = Pattern.compile(Pattern.quote(prefix) + "(\\d{1,15})\\.lock");
         long highest = 0;
-        for (long number : numbers()) {
+        for (long number : processNumbers()) {
             highest = Math.max(highest, number);
         }
         ownNumber = highest + 1;
@@ -69,8 +73,8 @@
         return ownNumber;
     }
 
-    /** Of all processes that have a lock file, this one among them. */
-    Set<Long> numbers() throws IOException {
+    /** Returns the numbers of all processes that have a lock file, including this one. */
+    Set<Long> processNumbers() throws IOException {
         Set<Long> numbers = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, prefix + "*.lock")) {
             for (Path file : files) {
@@ -83,20 +87,20 @@
         return numbers;
     }
 
-    /** Whether the process holds its lock: the system releases it however the process ends. */
+    /** Whether the process holds its lock. The operating system releases the lock however the process ends. */
     boolean isAlive(long number) {
         try (FileChannel channel = FileChannel.open(lockFile(number), StandardOpenOption.WRITE);
-                FileLock taken = channel.tryLock()) {
-            return taken == null;
+                FileLock lock = channel.tryLock()) {
+            return lock == null;
         } catch (OverlappingFileLockException e) {
-            // Held by this JVM: two sidecars of one program.
+            // This JVM holds the lock: one program runs two sidecars.
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Seconds since the lock file was made, by the system's clock; 0 where there is none. */
+    /** Returns the seconds since the lock file was created, by the system's clock; 0 if there is no such file. */
     double ageSeconds(long number) throws IOException {
         Path file = lockFile(number);
         return Files.exists(file)
@@ -104,7 +108,7 @@
                 : 0;
     }
 
-    /** Null where there is none, or none that is valid. Parses a file again only once it has changed. */
+    /** Returns the state of a process; null if there is no valid one. Parses the file only if it has changed. */
     HandoverState read(long number) {
         Path file = stateFile(number);
         try {
@@ -112,25 +116,25 @@
                 return null;
             }
             String version = version(file);
-            if (version.equals(versionRead.put(number, version))) {
-                return statesRead.get(number);
+            if (version.equals(readVersions.put(number, version))) {
+                return readStates.get(number);
             }
-            statesRead.remove(number);
+            readStates.remove(number);
             if (Files.size(file) > MAX_STATE_BYTES) {
                 throw new IOException("longer than " + MAX_STATE_BYTES + " bytes");
             }
-            statesRead.put(number, HandoverStateCodec.decode(JsonTree.parse(Files.readAllBytes(file)), sidecarName));
+            readStates.put(number, HandoverStateCodec.decode(JsonTree.parse(Files.readAllBytes(file)), sidecarName));
         } catch (IOException | InvalidSettingException | RuntimeException e) {
-            if (logged.add(number)) {
+            if (loggedNumbers.add(number)) {
                 String cause =
                         String.valueOf(e.getMessage()).lines().findFirst().orElse("");
                 log.warn("handover state ignored: process=" + number + " cause=" + cause);
             }
         }
-        return statesRead.get(number);
+        return readStates.get(number);
     }
 
-    /** Replaces this process's state atomically: who reads meanwhile finds the previous one. */
+    /** Replaces this process's state file atomically: a concurrent reader sees the previous state. */
     void write(HandoverState state) {
         Path temporary = file(ownNumber, "tmp");
         try {
@@ -145,13 +149,13 @@
         }
     }
 
-    /** Deletes what a process that has ended left. */
+    /** Deletes the files of a process that has ended. */
     void delete(long number) throws IOException {
         Files.deleteIfExists(file(number, "tmp"));
         Files.deleteIfExists(stateFile(number));
         Files.deleteIfExists(lockFile(number));
-        statesRead.remove(number);
-        versionRead.remove(number);
+        readStates.remove(number);
+        readVersions.remove(number);
     }
 
     void releaseLock() {
@@ -162,7 +166,10 @@
         }
     }
 
-    /** The file key tells apart two files of one length, written within one tick of the file system's clock. */
+    /**
+     * Returns a text that changes whenever the file is replaced. The file key distinguishes two files of the same
+     * length that were written within one tick of the file system's clock.
+     */
     private static String version(Path file) throws IOException {
         BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
         return attributes.lastModifiedTime() + " " + attributes.size() + " " + attributes.fileKey();
--- a/daemon/src/main/java/portrelay/net/handover/HandoverService.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverService.java
@@ -16,41 +16,46 @@
 import portrelay.settings.JsonFields;
 
 /**
- * Hands over to, and takes over from, the other processes of one sidecar, by files in a directory that all see. Owns
- * the state of this process and one thread of its own, {@code portrelay-handover}, that alone reads and writes the
- * files.
+ * Exchanges state with the other processes of one sidecar through files in a directory that they share. Owns the state
+ * of this process and a thread, {@code portrelay-handover}, that is the only one to read and write the files after
+ * {@link #open}.
  *
- * <p>Threads: {@link #open} and the getters of what it found run on the thread that starts the sidecar, before
- * {@link #start}. All other methods may be called from any thread; but for {@link #close} they return at once and run
- * on the handover thread. Callbacks run on the event loop.
+ * <p>Threads: {@link #open} and the getters of the state that it found are called on the thread that starts the
+ * sidecar, before {@link #start}. All other methods may be called from any thread; except for {@link #close} they
+ * return at once and do their work on the handover thread. Callbacks run on the event loop.
  */
 public final class HandoverService implements AutoCloseable {
 
     /** How often a process without a sibling looks for one. */
     private static final double POLL_INTERVAL_ALONE_SECONDS = 0.25;
-    /** How often a sibling's file is read: operators' calls made there are to be in force here within 0.2 s. */
+    /** How often a sibling's file is read: operator calls made there have to take effect here within 0.2 s. */
     private static final double POLL_INTERVAL_WITH_SIBLING_SECONDS = 0.1;
 
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
 
-    /** Called on the event loop with what other processes were told, and with their start and end. */
+    /**
+     * Receives operator calls made at other processes, and the start and end of those processes. Runs on the event
+     * loop.
+     */
     public interface Listener {
 
         /** Operators disabled the upstream at another process, or enabled it again. */
         void disabledChanged(UpstreamId id, boolean isDisabled);
 
-        /** Operators took the sidecar out of service at another process, or back. */
+        /** Operators took the sidecar out of service, or back into service, at another process. */
         void inServiceChanged(boolean isInService);
 
+        /** The sibling process started, began to serve, or ended. */
         void siblingChanged(Sibling sibling);
     }
 
-    /** The other process of this sidecar that is alive; of several, one that serves. */
+    /** State of the other process of this sidecar that is alive; of several, that of one that serves. */
     public enum Sibling {
+        /** No other process is alive. */
         NONE,
         /** A later process that does not serve yet. */
         STARTING,
-        /** A process that serves, or an earlier one, which is taken for one that serves until it has ended. */
+        /** A process that serves, or an earlier one, which is assumed to serve until it has ended. */
         SERVING
     }
 
@@ -59,7 +64,7 @@
     private final HandoverDirectory directory;
     private final SiblingScan scan;
     private final HandoverState state;
-    private final ScheduledThreadPoolExecutor thread;
+    private final ScheduledThreadPoolExecutor executor;
     /** Null before {@link #start}. */
     private Listener listener;
 
@@ -72,22 +77,22 @@
         this.directory = new HandoverDirectory(directory, owner.name(), log);
         scan = new SiblingScan(this.directory, log);
         state = new HandoverState(owner);
-        thread = new ScheduledThreadPoolExecutor(1, task -> {
+        executor = new ScheduledThreadPoolExecutor(1, task -> {
             Thread daemon = new Thread(task, "portrelay-handover");
             daemon.setDaemon(true);
             return daemon;
         });
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        // Written before the first scan: to others a process with a lock and no state is a stranger.
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        // Written before the first scan: other processes ignore one that has a lock but no state.
         writeIfChanged();
         scanSiblings();
     }
 
     /**
-     * Takes a number and a lock in the directory, and reads what other processes left there.
+     * Takes a number and a lock in the directory, and reads the state files of other processes.
      *
-     * @param directory null to hand over to none
-     * @return null without a directory, or, with a line in the log, where it is missing or can't be written to
+     * @param directory null to disable handover
+     * @return null if the directory is null, or if it is missing or not writable, which is logged
      */
     public static HandoverService open(EventLoop loop, Log log, Path directory, HandoverState.Owner owner) {
         if (directory == null) {
@@ -101,22 +106,24 @@
         }
     }
 
-    // ---- As found by open -------------------------------------------------------------------------------
+    // ---- State found by open ----------------------------------------------------------------------------
 
+    /** Returns the last operator call for each upstream. */
     public Map<UpstreamId, HandoverState.OperatorCall> operatorCalls() {
-        return Map.copyOf(state.calls.latest());
+        return Map.copyOf(state.upstreamCalls.latest());
     }
 
+    /** Whether operators took the sidecar out of service. */
     public boolean isOutOfService() {
-        return state.service.isOut();
+        return state.sidecarCall.takesOutOfService();
     }
 
-    /** Ids that discovery ever listed, the latest last. */
+    /** Returns the ids that discovery ever listed, the latest last. */
     public Set<UpstreamId> everListed() {
         return new LinkedHashSet<>(state.everListed);
     }
 
-    /** The endpoint list of a process that is alive, in discovery's form; null where there is none. */
+    /** Returns the endpoint list of a process that is alive, in discovery's format; null if there is none. */
     public JsonFields endpointList() {
         try {
             return state.endpointList == null ? null : JsonFields.of(state.endpointList, "list");
@@ -125,13 +132,14 @@
         }
     }
 
+    /** Returns the state of the sibling process. */
     public Sibling sibling() {
         return sibling;
     }
 
-    // ---- What this process tells the others -------------------------------------------------------------
+    // ---- Announcements to other processes ---------------------------------------------------------------
 
-    /** From here on the listener is called, and other processes' files are polled. */
+    /** Starts to poll the files of other processes and to call the listener. */
     public void start(Listener listener) {
         execute(() -> {
             this.listener = listener;
@@ -140,9 +148,9 @@
     }
 
     /**
-     * This process serves at that address.
+     * Announces that this process serves at the given address.
      *
-     * @param onWritten called on the event loop once other processes can read so
+     * @param onWritten called on the event loop once other processes can read the announcement
      */
     public void announceServing(String listen, Runnable onWritten) {
         execute(() -> {
@@ -153,23 +161,33 @@
         });
     }
 
-    /** Operators called for the upstream at this process. */
-    public void recordDisabled(UpstreamId id, boolean isDisabled, double at) {
+    /**
+     * Records an operator call for an upstream that this process received.
+     *
+     * @param calledAt when the call came, on the event loop's clock
+     */
+    public void recordDisabled(UpstreamId id, boolean isDisabled, double calledAt) {
         execute(() -> {
-            state.calls.merge(id, new HandoverState.OperatorCall(isDisabled, at));
+            state.upstreamCalls.merge(id, new HandoverState.OperatorCall(isDisabled, calledAt));
             writeChanged();
         });
     }
 
-    /** Operators took the sidecar out of service at this process, or back. */
-    public void recordOutOfService(boolean isOut, double at) {
+    /**
+     * Records an operator call that took the sidecar out of service, or back into service, at this process.
+     *
+     * @param calledAt when the call came, on the event loop's clock
+     */
+    public void recordOutOfService(boolean isOutOfService, double calledAt) {
         execute(() -> {
-            state.service = new HandoverState.OperatorCall(isOut, at);
+            state.sidecarCall = new HandoverState.OperatorCall(isOutOfService, calledAt);
             writeChanged();
         });
     }
 
-    /** Written with the next poll. The caller changes neither object any longer. */
+    /**
+     * Records the endpoint list, to be written with the next poll. The caller must not change either object afterwards.
+     */
     public void recordEndpointList(Set<UpstreamId> everListed, Object endpointList) {
         execute(() -> {
             state.everListed = everListed;
@@ -179,21 +197,22 @@
     }
 
     /**
-     * This process shuts down: from here on no other one leaves its clients to it.
+     * Announces that this process shuts down, so that no other process hands its clients over to this one.
      *
-     * @param onSuccessorKnown called on the event loop with whether a later process serves that does not shut down too
+     * @param onSuccessorChecked called on the event loop with whether a later process serves and is not shutting down
+     *     itself
      */
-    public void announceEnd(Consumer<Boolean> onSuccessorKnown) {
+    public void announceShutdown(Consumer<Boolean> onSuccessorChecked) {
         execute(() -> {
             scanSiblings();
             boolean hasSuccessor = scan.hasSuccessor();
-            loop.execute(() -> onSuccessorKnown.accept(hasSuccessor));
-            state.isEnding = true;
+            loop.execute(() -> onSuccessorChecked.accept(hasSuccessor));
+            state.isShuttingDown = true;
             writeChanged();
         });
     }
 
-    /** Writes the last state and releases the lock; blocks until that is done, for a limited time. */
+    /** Writes the last state and releases the lock. Blocks until that is done, for a limited time. */
     @Override
     public void close() {
         execute(() -> {
@@ -201,9 +220,9 @@
             writeChanged();
             directory.releaseLock();
         });
-        thread.shutdown();
+        executor.shutdown();
         try {
-            if (!thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!executor.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 log.warn(
                         "handover state may be out of date: last write not finished within-s=" + CLOSE_TIMEOUT_SECONDS);
             }
@@ -214,7 +233,7 @@
 
     private void execute(Runnable task) {
         try {
-            thread.execute(() -> runLogged(task));
+            executor.execute(() -> runLogged(task));
         } catch (RejectedExecutionException e) {
             // The sidecar is closed: nobody takes over what it learns now.
         }
@@ -230,14 +249,15 @@
         }
     }
 
-    // What goes wrong is logged by runLogged: the future has nothing more to tell.
+    // The result of the future is not needed: runLogged logs failures.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void poll() {
         scanSiblings();
         writeIfChanged();
-        double seconds = sibling == Sibling.NONE ? POLL_INTERVAL_ALONE_SECONDS : POLL_INTERVAL_WITH_SIBLING_SECONDS;
+        double intervalSeconds =
+                sibling == Sibling.NONE ? POLL_INTERVAL_ALONE_SECONDS : POLL_INTERVAL_WITH_SIBLING_SECONDS;
         try {
-            thread.schedule(() -> execute(this::poll), (long) (seconds * 1e3), TimeUnit.MILLISECONDS);
+            executor.schedule(() -> execute(this::poll), (long) (intervalSeconds * 1e3), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             // The sidecar is closed.
         }
@@ -247,28 +267,28 @@
         scan.run(state.owner, this::merge);
         if (scan.sibling() != sibling) {
             sibling = scan.sibling();
-            Sibling found = sibling;
-            log.info("sibling process: state=" + found);
-            notifyListener(() -> listener.siblingChanged(found));
+            Sibling newSibling = sibling;
+            log.info("sibling process: state=" + newSibling);
+            notifyListener(() -> listener.siblingChanged(newSibling));
         }
     }
 
-    /** Takes over what another process knows and this one does not. */
+    /** Takes over the part of another process's state that is newer than this one's. */
     private void merge(HandoverState other, boolean isAlive) {
-        other.calls.latest().forEach((id, call) -> {
-            HandoverState.OperatorCall before = state.calls.get(id);
-            if (state.calls.merge(id, call)) {
-                notifyListener(() -> listener.disabledChanged(id, call.isOut()));
+        other.upstreamCalls.latest().forEach((id, call) -> {
+            HandoverState.OperatorCall previous = state.upstreamCalls.get(id);
+            if (state.upstreamCalls.merge(id, call)) {
+                notifyListener(() -> listener.disabledChanged(id, call.takesOutOfService()));
             }
-            isStateChanged |= !call.equals(before) && call.equals(state.calls.get(id));
+            isStateChanged |= !call.equals(previous) && call.equals(state.upstreamCalls.get(id));
         });
-        if (other.service.at() > state.service.at()) {
-            state.service = other.service;
+        if (other.sidecarCall.calledAt() > state.sidecarCall.calledAt()) {
+            state.sidecarCall = other.sidecarCall;
             isStateChanged = true;
-            notifyListener(() -> listener.inServiceChanged(!other.service.isOut()));
+            notifyListener(() -> listener.inServiceChanged(!other.sidecarCall.takesOutOfService()));
         }
         if (listener == null) {
-            // Once started, this process has a list of its own.
+            // Once started, this process has its own list.
             state.everListed.addAll(other.everListed);
             state.endpointList = isAlive && other.endpointList != null ? other.endpointList : state.endpointList;
         }
