--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -275,7 +275,7 @@
 
     // ---- Deadlines after the end of the process ---------------------------------------------------------
 
-    /** Guards against requests lost at SIGKILL, which leaves 3 s of their 8 s. */
+    /** Guards against losing requests at SIGKILL: of their deadline of 8 s it leaves 3 s. */
     @Test
     void aRequestWhoseDeadlineIsAfterTheProcessEndIsAnsweredBeforeIt() throws Exception {
         try (SidecarFixture testbed = new SidecarFixture(
--- a/daemon/src/test/java/portrelay/net/MigrateNetTest.java
+++ b/daemon/src/test/java/portrelay/net/MigrateNetTest.java
@@ -200,7 +200,9 @@
         assertEquals(List.of("old.json", "shape.json"), fileNames());
     }
 
-    /** Guards against a setting whose name is added to Settings and not to Migration. */
+    /**
+     * Guards against a setting that SettingsParser reads and SettingsSchema lacks, which a migration would leave out.
+     */
     @Test
     void theExampleMigratesCompletelyWithAnEmptyShape() throws Exception {
         writeInput(Files.readString(Path.of("../examples/config.json")), "{\"settings\":{}}");
--- a/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
@@ -29,7 +29,7 @@
     private static final List<Object> INVALID_VALUES = Arrays.asList(
             null, -1.0, 0.5, 1e300, "", "x", true, List.of(), List.of("x"), Map.of(), Map.of("name", 7.0));
 
-    /** Sets each field in turn to each invalid value, null among them: it must be accepted or reported by its path. */
+    /** Removes each field in turn, or sets it to each invalid value: this must be accepted or reported by its path. */
     @Test
     void anInvalidSettingIsReportedByItsPath() throws Exception {
         List<String> wrongReports = new ArrayList<>();
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aDuplicateNameIsReportedByItsPath() {
+    void aDuplicateIsReportedByItsPath() {
         Map<String, String> duplicates = new LinkedHashMap<>();
         duplicates.put("settings.classes[1].name", VALID_CONFIG.replace("\"save\"", "\"read\""));
         duplicates.put("settings.tenants[1].name", VALID_CONFIG.replace("\"beta\"", "\"acme\""));
--- a/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
+++ b/daemon/src/test/java/portrelay/net/ShutdownNetTest.java
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aRequestCompletedAfterForwardingEndsIsRejectedUnsent() throws Exception {
+    void aRequestCompletedAfterTheSidecarBeginsToRejectIsNotSent() throws Exception {
         try (Socket client = connect()) {
             String request = SidecarFixture.issue("a", 900);
             write(client, request.substring(0, 40));
