--- a/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IdleConnections.java
@@ -38,7 +38,7 @@
     }
 
     void add(HttpConnection connection) {
-        connector.idle(connection);
+        connector.markIdle(connection);
         newestFirst.addFirst(new IdleConnection(connection, loop.now()));
         scheduleSweep();
     }
@@ -46,8 +46,8 @@
     /** Removes and returns the most recently used connection that can be written to now, or null if there is none. */
     HttpConnection poll() {
         for (HttpConnection newest = pollPastMinIdle(); newest != null; newest = pollPastMinIdle()) {
-            connector.inUse(newest);
-            if (newest.hasBeenIdle()) {
+            connector.markInUse(newest);
+            if (newest.verifyIdle()) {
                 return newest;
             }
         }
--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -244,7 +244,7 @@
                 ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
             Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
-            String address = SocketAddresses.text(predecessor.address());
+            String address = SocketAddresses.format(predecessor.address());
             Sidecar successor = Sidecar.start(config(discovery, upstream, address), discardedLog, dir);
             List<Socket> clients = new ArrayList<>();
             Thread drain;
@@ -366,7 +366,7 @@
             Sidecar predecessor = Sidecar.start(
                     config(discovery, upstream, "127.0.0.1:0"), new PrintStream(predecessorLog, true), dir);
             Sidecar successor = Sidecar.start(
-                    config(discovery, upstream, SocketAddresses.text(predecessor.address())),
+                    config(discovery, upstream, SocketAddresses.format(predecessor.address())),
                     new PrintStream(successorLog, true),
                     dir);
             Thread successorDrain;
@@ -409,7 +409,7 @@
             PrintStream discardedLog = new PrintStream(OutputStream.nullOutputStream());
             Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
             Sidecar successor = Sidecar.open(
-                    config(discovery, upstream, SocketAddresses.text(predecessor.address())),
+                    config(discovery, upstream, SocketAddresses.format(predecessor.address())),
                     discardedLog,
                     dir,
                     ENDLESS);
@@ -438,7 +438,7 @@
             Sidecar predecessor = Sidecar.start(config(discovery, upstream, "127.0.0.1:0"), discardedLog, dir);
             InetSocketAddress address = predecessor.address();
             Sidecar successor = Sidecar.open(
-                    config(discovery, upstream, SocketAddresses.text(address)), discardedLog, dir, ENDLESS);
+                    config(discovery, upstream, SocketAddresses.format(address)), discardedLog, dir, ENDLESS);
             predecessor.close();
             Message response = null;
             for (int i = 0; response == null; i++) {
@@ -478,7 +478,7 @@
             // One at another address, and one at our address with no request class in common.
             SidecarConfig elsewhere = config(discovery, upstream, "127.0.0.1:0");
             String other = SidecarFixture.config(discovery.address(), "{\"seq\":1,\"hosts\":[]}", 512)
-                    .replace("127.0.0.1:0\",\"mgmt", SocketAddresses.text(ours.address()) + "\",\"mgmt")
+                    .replace("127.0.0.1:0\",\"mgmt", SocketAddresses.format(ours.address()) + "\",\"mgmt")
                     .replace("\"read\"", "\"level\"")
                     .replace("\"save\"", "\"valve\"")
                     .replace("\"issue\"", "\"dose\"");
--- a/daemon/src/test/java/portrelay/net/HandoverNetTest.java
+++ b/daemon/src/test/java/portrelay/net/HandoverNetTest.java
@@ -81,7 +81,7 @@
     }
 
     private static String addressOf(Sidecar sidecar) {
-        return SocketAddresses.text(sidecar.address());
+        return SocketAddresses.format(sidecar.address());
     }
 
     private static Message exchange(InetSocketAddress to, String bytes) throws IOException {
--- a/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
@@ -79,7 +79,7 @@
         toDiscovery = new Connector(clock, buffers, 3, n -> {});
         discoveryActor =
                 new DiscoveryActor(clock, log, toDiscovery, config.discovery(), loadBalancer, socketAddress -> {
-                    String address = SocketAddresses.text(socketAddress);
+                    String address = SocketAddresses.format(socketAddress);
                     createdUpstreams.merge(address, 1, Integer::sum);
                     if (address.equals(failingAddress.get())) {
                         failingAddress.set(null);
