--- a/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/ConnectionEndCrossingsTest.java
@@ -70,7 +70,7 @@
     private static SidecarConfig config(ScriptedServer discovery, ScriptedServer upstream, String listen)
             throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
         return SidecarConfig.parse(SidecarFixture.config(discovery.address(), list, 512)
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + listen + "\"")
                 .getBytes(UTF_8));
@@ -101,15 +101,16 @@
                     Sidecar.open(config(discovery, upstream, "127.0.0.1:0"), new PrintStream(log, true), null, ENDLESS);
             try (Socket client = connect(sidecar.address());
                     Socket readinessClient = connect(sidecar.address())) {
-                client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+                client.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
                 Thread drain = drain(sidecar);
                 awaitLogged("draining", log);
-                answer("200 OK", "u").play(null, upstream.accepted.get(0));
+                answer("200 OK", "u").run(null, upstream.accepted.get(0));
                 assertEquals(200, Message.read(client.getInputStream()).status());
                 assertEquals(
                         503,
-                        SidecarFixture.ask(readinessClient, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                        SidecarFixture.exchange(readinessClient, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                                 .status());
                 client.close();
                 readinessClient.close();
@@ -134,13 +135,13 @@
                     new WarmUp.Length(Integer.MAX_VALUE, 2.5));
             long opened = System.nanoTime();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(sidecar.loop)) {
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(sidecar.loop)) {
                 drain = drain(sidecar);
                 awaitPosted(drain);
                 while (secondsSince(opened) < 2.7) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                blockedLoop.release();
             }
             sidecar.awaitReady();
             drain.join();
@@ -160,7 +161,7 @@
             free.close();
             Path file = dir.resolve("config.json");
             String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                    + SidecarFixture.host("s-0", upstream.address(), "SERVING") + "]}";
+                    + SidecarFixture.endpointRow("s-0", upstream.address(), "SERVING") + "]}";
             Files.writeString(
                     file,
                     SidecarFixture.config(discovery.address(), list, 512)
@@ -180,7 +181,8 @@
                     .start();
             try (Socket client = connectOnceListening(port)) {
                 client.setSoTimeout(8000);
-                client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+                client.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
                 upstream.next();
                 new ProcessBuilder("kill", "-TERM", "" + serve.pid()).start().waitFor();
                 Message response = Message.read(client.getInputStream());
@@ -213,21 +215,24 @@
             Socket open = testbed.connect();
             assertEquals(
                     200,
-                    SidecarFixture.ask(open, SidecarFixture.read("first", 900)).status());
+                    SidecarFixture.exchange(open, SidecarFixture.readRequest("first", 900))
+                            .status());
             Thread drain;
             Socket late;
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(testbed.sidecar.loop)) {
                 long start = System.nanoTime();
                 drain = drain(testbed.sidecar);
                 awaitPosted(drain);
                 late = testbed.connect();
-                late.getOutputStream().write(SidecarFixture.read("late", 900).getBytes(ISO_8859_1));
-                HeldEventLoop.unread(late, SidecarFixture.read("late", 900).length());
+                late.getOutputStream()
+                        .write(SidecarFixture.readRequest("late", 900).getBytes(ISO_8859_1));
+                BlockedEventLoop.awaitUnread(
+                        late, SidecarFixture.readRequest("late", 900).length());
                 // The timer that closes the listener is due in the loop iteration that finds the connection.
                 while (secondsSince(start) < 0.6) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                blockedLoop.release();
             }
             Message response = Message.read(late.getInputStream());
             assertNotNull(response, "the connection was closed with its request unread");
@@ -248,17 +253,17 @@
             Sidecar successor = Sidecar.start(config(discovery, upstream, address), discardedLog, dir);
             List<Socket> clients = new ArrayList<>();
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(predecessor.loop)) {
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(predecessor.loop)) {
                 // The kernel distributes them over both processes.
                 for (int i = 0; i < 40; i++) {
                     Socket client = connect(predecessor.address());
                     clients.add(client);
                     client.getOutputStream()
-                            .write(SidecarFixture.read("q" + i, 2000).getBytes(ISO_8859_1));
+                            .write(SidecarFixture.readRequest("q" + i, 2000).getBytes(ISO_8859_1));
                 }
                 drain = drain(predecessor);
                 awaitPosted(drain);
-                held.letGo();
+                blockedLoop.release();
             }
             for (Socket client : clients) {
                 Message response = Message.read(client.getInputStream());
@@ -281,14 +286,15 @@
         try (SidecarFixture testbed = new SidecarFixture(
                 1024, "{}", config -> config.replace("limit-us\":1000000", "limit-us\":8000000"), SILENT)) {
             Socket complete = testbed.connect();
-            complete.getOutputStream().write(SidecarFixture.issue("a", 8000).getBytes(ISO_8859_1));
+            complete.getOutputStream()
+                    .write(SidecarFixture.issueRequest("a", 8000).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             Socket partial = testbed.connect();
             partial.getOutputStream()
-                    .write((SidecarFixture.head("POST /issue/x", "b", "issue", 8000) + "Content-Length: 100000\r\n\r\n"
-                                    + "y".repeat(70_000))
+                    .write((SidecarFixture.requestHead("POST /issue/x", "b", "issue", 8000)
+                                    + "Content-Length: 100000\r\n\r\n" + "y".repeat(70_000))
                             .getBytes(ISO_8859_1));
-            HeldEventLoop.settled(testbed.sidecar.loop);
+            BlockedEventLoop.awaitPolls(testbed.sidecar.loop);
             long start = System.nanoTime();
             Thread drain = drain(testbed.sidecar);
             awaitPosted(drain);
@@ -313,19 +319,20 @@
             Socket open = testbed.connect();
             long start;
             Thread drain;
-            try (HeldEventLoop held = new HeldEventLoop(testbed.sidecar.loop)) {
-                open.getOutputStream().write(SidecarFixture.issue("a", 2000).getBytes(ISO_8859_1));
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(testbed.sidecar.loop)) {
+                open.getOutputStream()
+                        .write(SidecarFixture.issueRequest("a", 2000).getBytes(ISO_8859_1));
                 start = System.nanoTime();
                 drain = drain(testbed.sidecar);
                 // Like a process that gets no CPU time: the loop handles the signal 1.3 s late.
                 while (secondsSince(start) < 1.3) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                blockedLoop.release();
             }
             int status = Message.read(open.getInputStream()).status();
             // The late iteration may end forwarding before it reads the request, which is then never sent.
-            assertTrue(status == 502 || status == 429 && testbed.sent() == 0, "answered " + status);
+            assertTrue(status == 502 || status == 429 && testbed.receivedCount() == 0, "answered " + status);
             // The longest deadline is 1 s: due after 1.6 s, or after 2.3 s if the budget counted from the iteration.
             assertTrue(secondsSince(start) < 1.95, "answered after SIGKILL: " + secondsSince(start));
             open.close();
@@ -341,13 +348,13 @@
         try (SidecarFixture testbed = new SidecarFixture(SILENT);
                 ScriptedServer second = new ScriptedServer(SILENT)) {
             Socket open = testbed.connect();
-            open.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            open.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             testbed.upstreams.get(0).next();
             Thread firstDrain = drain(testbed.sidecar);
             testbed.reload(second.address());
             Thread secondDrain = drain(testbed.sidecar);
-            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
-            answer("200 OK", "u").play(null, testbed.upstreams.get(0).accepted.get(0));
+            assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
+            answer("200 OK", "u").run(null, testbed.upstreams.get(0).accepted.get(0));
             assertEquals(200, Message.read(open.getInputStream()).status());
             open.close();
             firstDrain.join(3000);
@@ -370,13 +377,13 @@
                     new PrintStream(successorLog, true),
                     dir);
             Thread successorDrain;
-            try (HeldEventLoop held = new HeldEventLoop(successor.loop)) {
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(successor.loop)) {
                 successorDrain = drain(successor);
                 // Its state file says that it ends before its loop handles the shutdown.
                 awaitEndingState();
                 Thread drain = drain(predecessor);
                 awaitLogged("draining", predecessorLog);
-                held.letGo();
+                blockedLoop.release();
                 drain.join();
             }
             successorDrain.join();
@@ -421,7 +428,7 @@
                 try (Socket client = connect(predecessor.address())) {
                     assertEquals(
                             200,
-                            SidecarFixture.ask(client, SidecarFixture.read("q" + i, 900))
+                            SidecarFixture.exchange(client, SidecarFixture.readRequest("q" + i, 900))
                                     .status());
                 }
             }
@@ -445,10 +452,10 @@
                 // The predecessor's listener may stay open for a moment although no process accepts from it.
                 try (Socket client = connectOnceListening(address.getPort())) {
                     client.setSoTimeout(5000);
-                    response = SidecarFixture.ask(client, SidecarFixture.read("a" + i, 900));
+                    response = SidecarFixture.exchange(client, SidecarFixture.readRequest("a" + i, 900));
                     if (response != null) {
                         String up = "GET /up HTTP/1.1\r\nHost: a\r\n\r\n";
-                        assertEquals(503, SidecarFixture.ask(client, up).status());
+                        assertEquals(503, SidecarFixture.exchange(client, up).status());
                     }
                 } catch (SocketException e) {
                     // The connection was reset with the closed listener.
@@ -489,11 +496,11 @@
                     if (theirConfig.equals(elsewhere)) {
                         assertEquals(
                                 200,
-                                SidecarFixture.ask(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                                SidecarFixture.exchange(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                                         .status());
                         assertEquals(
                                 200,
-                                SidecarFixture.ask(client, SidecarFixture.read("a", 900))
+                                SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
                                         .status(),
                                 "the upstream was disabled by another sidecar");
                     }
@@ -532,7 +539,7 @@
             try (Socket client = connect(sidecar.address())) {
                 assertEquals(
                         200,
-                        SidecarFixture.ask(client, SidecarFixture.read("a", 900))
+                        SidecarFixture.exchange(client, SidecarFixture.readRequest("a", 900))
                                 .status());
             }
             sidecar.close();
@@ -541,7 +548,7 @@
 
     private static int operatorCall(Sidecar sidecar, String line) throws IOException {
         try (Socket client = connect(sidecar.adminAddress())) {
-            return SidecarFixture.ask(client, line + " HTTP/1.1\r\nHost: a\r\n\r\n")
+            return SidecarFixture.exchange(client, line + " HTTP/1.1\r\nHost: a\r\n\r\n")
                     .status();
         }
     }
--- a/daemon/src/test/java/portrelay/net/HandoverNetTest.java
+++ b/daemon/src/test/java/portrelay/net/HandoverNetTest.java
@@ -69,8 +69,8 @@
 
     private Sidecar start(String listen, OutputStream log, int sockets) throws Exception {
         String list = "{\"seq\":7,\"whole\":true,\"hosts\":["
-                + SidecarFixture.host("s-0", firstUpstream.address(), "SERVING") + ","
-                + SidecarFixture.host("s-1", secondUpstream.address(), "SERVING") + "]}";
+                + SidecarFixture.endpointRow("s-0", firstUpstream.address(), "SERVING") + ","
+                + SidecarFixture.endpointRow("s-1", secondUpstream.address(), "SERVING") + "]}";
         String json = SidecarFixture.config(discovery.address(), list, sockets)
                 .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"" + listen + "\"");
         return Sidecar.start(SidecarConfig.parse(json.getBytes(UTF_8)), new PrintStream(log), dir);
@@ -87,7 +87,7 @@
     private static Message exchange(InetSocketAddress to, String bytes) throws IOException {
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
             socket.setSoTimeout(5000);
-            return SidecarFixture.ask(socket, bytes);
+            return SidecarFixture.exchange(socket, bytes);
         }
     }
 
@@ -108,7 +108,7 @@
     private static void awaitAll(String failure, Sidecar sidecar, int status) throws Exception {
         await(failure, () -> {
             for (int i = 0; i < 20; i++) {
-                if (exchange(sidecar.address(), SidecarFixture.read("n" + System.nanoTime(), 900))
+                if (exchange(sidecar.address(), SidecarFixture.readRequest("n" + System.nanoTime(), 900))
                                 .status()
                         != status) {
                     return false;
@@ -164,7 +164,8 @@
                         String id = "q" + clientIndex + "-" + requestCount.get();
                         assertEquals(
                                 200,
-                                exchange(address, SidecarFixture.read(id, 900)).status());
+                                exchange(address, SidecarFixture.readRequest(id, 900))
+                                        .status());
                         Thread.sleep(2);
                     } catch (Exception | AssertionError e) {
                         failed.add(new FailedRequest(e.toString(), sentAt, System.nanoTime()));
@@ -206,9 +207,13 @@
             open.setSoTimeout(2000);
             idle.setSoTimeout(2000);
             assertEquals(
-                    200, SidecarFixture.ask(open, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(open, SidecarFixture.readRequest("a", 900))
+                            .status());
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("b", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("b", 900))
+                            .status());
             Sidecar successor = start(addressOf(predecessor));
             Thread drain = new Thread(predecessor::drain);
             drain.start();
@@ -235,14 +240,14 @@
         for (int i = 0; i < 20; i++) {
             assertFalse(isInService(successor));
         }
-        firstUpstream.seen.clear();
+        firstUpstream.received.clear();
         for (int i = 0; i < 60; i++) {
             assertEquals(
                     200,
-                    exchange(predecessor.address(), SidecarFixture.read("a" + i, 900))
+                    exchange(predecessor.address(), SidecarFixture.readRequest("a" + i, 900))
                             .status());
         }
-        assertEquals(0, firstUpstream.seen.size());
+        assertEquals(0, firstUpstream.received.size());
         assertEquals(200, operatorCall(successor, "PUT /control/in-service"));
         await("the predecessor does not apply the successor's operator call within 3 s", () -> {
             for (int i = 0; i < 20; i++) {
@@ -256,22 +261,22 @@
         awaitAll("with both upstreams disabled, not every request is rejected at both processes", successor, 429);
         assertEquals(200, operatorCall(successor, "PUT /control/upstreams/s-1/online"));
         awaitAll("with an upstream enabled again, not every request is served at both processes", successor, 200);
-        firstUpstream.seen.clear();
+        firstUpstream.received.clear();
         predecessor.drain();
         predecessor.close();
         for (int i = 0; i < 40; i++) {
             assertEquals(
                     200,
-                    exchange(successor.address(), SidecarFixture.read("b" + i, 900))
+                    exchange(successor.address(), SidecarFixture.readRequest("b" + i, 900))
                             .status());
         }
-        assertEquals(0, firstUpstream.seen.size());
+        assertEquals(0, firstUpstream.received.size());
         assertEquals(200, operatorCall(successor, "PUT /control/upstreams/s-0/online"));
         successor.close();
         Sidecar third = start(addressOf(successor));
         await("the enabled upstream gets no request from the third process", () -> {
-            exchange(third.address(), SidecarFixture.read("c" + System.nanoTime(), 900));
-            return firstUpstream.seen.size() > 0;
+            exchange(third.address(), SidecarFixture.readRequest("c" + System.nanoTime(), 900));
+            return firstUpstream.received.size() > 0;
         });
         third.close();
     }
@@ -281,8 +286,8 @@
         Sidecar predecessor = start("127.0.0.1:0");
         discovery.next();
         String update = "{\"seq\":8,\"whole\":false,\"hosts\":["
-                + SidecarFixture.host("s-9", secondUpstream.address(), "SERVING") + "]}";
-        answer("200 OK", update).play(null, discovery.accepted.get(0));
+                + SidecarFixture.endpointRow("s-9", secondUpstream.address(), "SERVING") + "]}";
+        answer("200 OK", update).run(null, discovery.accepted.get(0));
         await(
                 "the upstream is not listed within 3 s",
                 () -> operatorCall(predecessor, "PUT /control/upstreams/s-9/offline") == 200);
@@ -314,7 +319,8 @@
         // Without a successor it listens for half a second more.
         assertEquals(
                 200,
-                exchange(predecessor.address(), SidecarFixture.read("a", 900)).status());
+                exchange(predecessor.address(), SidecarFixture.readRequest("a", 900))
+                        .status());
         drain.join();
         assertTrue(System.nanoTime() - start > 0.69e9);
         predecessor.close();
@@ -363,7 +369,8 @@
         assertTrue(isInService(predecessor));
         assertEquals(
                 200,
-                exchange(predecessor.address(), SidecarFixture.read("a", 900)).status());
+                exchange(predecessor.address(), SidecarFixture.readRequest("a", 900))
+                        .status());
         predecessor.close();
     }
 
@@ -386,7 +393,7 @@
         for (int i = 0; i < clients.size(); i++) {
             clients.get(i)
                     .getOutputStream()
-                    .write(SidecarFixture.read("a" + i, 900).getBytes(ISO_8859_1));
+                    .write(SidecarFixture.readRequest("a" + i, 900).getBytes(ISO_8859_1));
         }
         for (Socket client : clients) {
             assertTrue(Message.read(client.getInputStream()).status() > 0);
--- a/daemon/src/test/java/portrelay/net/PeersNetTest.java
+++ b/daemon/src/test/java/portrelay/net/PeersNetTest.java
@@ -85,25 +85,30 @@
                         withPeers(port, other.getLocalPort()),
                         answer("200 OK", "u"),
                         answer("200 OK", "u"))) {
-            assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
             String startMessage = receive(other);
             String endMessage = receive(other);
             assertEquals(4, startMessage.length());
             assertEquals(5, endMessage.length());
             assertEquals(startMessage.substring(1), endMessage.substring(1, 4));
-            int loadedUpstream = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            int loadedUpstream = fixture.upstreams.get(0).received.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
                 send(other, port, startMessage.getBytes(ISO_8859_1));
             }
             // The messages are handled before this answer, as one loop reads both.
-            assertEquals(200, fixture.ask(SidecarFixture.read("b", 900)).status());
-            int previous = fixture.upstreams.get(loadedUpstream).seen.size();
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("b", 900)).status());
+            int previous = fixture.upstreams.get(loadedUpstream).received.size();
             for (int i = 0; i < 12; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("c" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("c" + i, 900))
+                                .status());
             }
             assertEquals(
                     previous,
-                    fixture.upstreams.get(loadedUpstream).seen.size(),
+                    fixture.upstreams.get(loadedUpstream).received.size(),
                     "sent to the upstream at which the other sidecar's requests wait");
         }
     }
@@ -120,9 +125,10 @@
                         withPeers(port, other.getLocalPort()),
                         answer("200 OK", "u"),
                         answer("200 OK", "u"))) {
-            assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+            assertEquals(
+                    200, fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
             String startMessage = receive(other);
-            int firstUpstream = fixture.upstreams.get(0).seen.isEmpty() ? 1 : 0;
+            int firstUpstream = fixture.upstreams.get(0).received.isEmpty() ? 1 : 0;
             for (int i = 0; i < 3; i++) {
                 send(unknownSender, port, startMessage.getBytes(ISO_8859_1));
                 send(other, port, (startMessage + "\u0001").getBytes(ISO_8859_1));
@@ -130,10 +136,13 @@
                 send(other, port, new byte[0]);
             }
             for (int i = 0; i < 40; i++) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("b" + i, 900))
+                                .status());
             }
             assertTrue(
-                    fixture.upstreams.get(firstUpstream).seen.size() > 1,
+                    fixture.upstreams.get(firstUpstream).received.size() > 1,
                     "a message from an unknown sender or an unreadable one was applied");
         }
     }
@@ -157,7 +166,7 @@
                     2,
                     (from, text) -> received.add(text));
             actor.start();
-            HeldEventLoop.settled(loop);
+            BlockedEventLoop.awaitPolls(loop);
             for (String message : List.of("a\u007f", "\u001fb", "~ c")) {
                 send(other, port, message.getBytes(ISO_8859_1));
             }
@@ -175,11 +184,15 @@
             int port = previous.getLocalPort();
             try (SidecarFixture fixture =
                     new SidecarFixture(1024, "{}", withPeers(port, other.getLocalPort()), answer("200 OK", "u"))) {
-                assertEquals(200, fixture.ask(SidecarFixture.read("a", 900)).status());
+                assertEquals(
+                        200,
+                        fixture.exchange(SidecarFixture.readRequest("a", 900)).status());
                 previous.close();
                 for (int i = 0; other.getSoTimeout() > 0; i++) {
                     assertEquals(
-                            200, fixture.ask(SidecarFixture.read("b" + i, 900)).status());
+                            200,
+                            fixture.exchange(SidecarFixture.readRequest("b" + i, 900))
+                                    .status());
                     other.setSoTimeout(100);
                     try {
                         assertEquals('!', receive(other).charAt(0));
--- a/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/SettingsCrossingsTest.java
@@ -25,7 +25,9 @@
 class SettingsCrossingsTest {
 
     private static final String VALID_CONFIG = SidecarFixture.config(
-            "127.0.0.1:1", "{\"seq\":1,\"hosts\":[" + SidecarFixture.host("s", "127.0.0.1:2", "SERVING") + "]}", 1024);
+            "127.0.0.1:1",
+            "{\"seq\":1,\"hosts\":[" + SidecarFixture.endpointRow("s", "127.0.0.1:2", "SERVING") + "]}",
+            1024);
     private static final List<Object> INVALID_VALUES = Arrays.asList(
             null, -1.0, 0.5, 1e300, "", "x", true, List.of(), List.of("x"), Map.of(), Map.of("name", 7.0));
 
@@ -133,23 +135,30 @@
                                 .replace("\"cell\"", "\"all\"")
                                 .replace("\"retry-after\":true", "\"retry-after\":false"),
                         answer("200 OK", "other"))) {
-            String level =
-                    SidecarFixture.read("same", 900).replace("read", "level").replace("acme", "lithium");
+            String level = SidecarFixture.readRequest("same", 900)
+                    .replace("read", "level")
+                    .replace("acme", "lithium");
             assertEquals(
                     "one",
-                    new String(first.ask(SidecarFixture.read("same", 900)).body(), ISO_8859_1));
-            assertEquals("other", new String(second.ask(level).body(), ISO_8859_1));
-            assertEquals(404, first.ask(level).status());
-            assertEquals(404, second.ask(SidecarFixture.read("a", 900)).status());
-            assertEquals(200, first.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(200, second.ask(level).status());
-            SidecarFixture.Message rejection = first.ask(SidecarFixture.read("b", 900));
+                    new String(
+                            first.exchange(SidecarFixture.readRequest("same", 900))
+                                    .body(),
+                            ISO_8859_1));
+            assertEquals("other", new String(second.exchange(level).body(), ISO_8859_1));
+            assertEquals(404, first.exchange(level).status());
+            assertEquals(
+                    404, second.exchange(SidecarFixture.readRequest("a", 900)).status());
+            assertEquals(
+                    200, first.callAdmin("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(200, second.exchange(level).status());
+            SidecarFixture.Message rejection = first.exchange(SidecarFixture.readRequest("b", 900));
             assertEquals(429, rejection.status());
             assertEquals("0.25", rejection.header("Retry-After"));
-            assertEquals(200, second.call("PUT /control/upstreams/s-0/offline").status());
-            assertEquals(null, second.ask(level).header("Retry-After"));
+            assertEquals(
+                    200, second.callAdmin("PUT /control/upstreams/s-0/offline").status());
+            assertEquals(null, second.exchange(level).header("Retry-After"));
             first.sidecar.close();
-            assertEquals(429, second.ask(level).status());
+            assertEquals(429, second.exchange(level).status());
         }
     }
 }
--- a/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
@@ -126,7 +126,7 @@
 
     private int openConnections() throws Exception {
         AtomicInteger open = new AtomicInteger();
-        HeldEventLoop.on(clock, () -> open.set(connector.openCount()));
+        BlockedEventLoop.runOn(clock, () -> open.set(connector.openCount()));
         return open.get();
     }
 
@@ -149,12 +149,12 @@
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
                 Runnable makeUnusable = unusableEvents(actor, upstream.serverSocket.getLocalPort())
                         .get(i);
-                HeldEventLoop.on(clock, () -> {
+                BlockedEventLoop.runOn(clock, () -> {
                     makeUnusable.run();
                     actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                 });
                 assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.CONNECT_FAILED, null), nextEndedAttempt());
-                HeldEventLoop.settled(clock);
+                BlockedEventLoop.awaitPolls(clock);
                 assertEquals(0, upstream.accepted.size());
                 assertEquals(0, openConnections());
             }
@@ -173,9 +173,9 @@
                 UpstreamActor actor = actor(fullServer.getLocalPort());
                 Runnable makeUnusable =
                         unusableEvents(actor, fullServer.getLocalPort()).get(i);
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
                 assertEquals(1, openConnections());
-                HeldEventLoop.on(clock, makeUnusable);
+                BlockedEventLoop.runOn(clock, makeUnusable);
                 assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.CONNECT_FAILED, null), nextEndedAttempt());
                 assertEquals(0, openConnections());
             } finally {
@@ -196,7 +196,7 @@
                         unusableEvents(actor, serverSocket.getLocalPort()).get(i);
                 BlockingQueue<Socket> acceptedSockets = new LinkedBlockingQueue<>();
                 // The mailbox runs the connect first, then the second task.
-                HeldEventLoop.on(clock, () -> {
+                BlockedEventLoop.runOn(clock, () -> {
                     actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                     clock.execute(() -> {
                         try {
@@ -225,34 +225,34 @@
     void aLateSecondAnswerIsNotGivenToTheNextRequest() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer((message, socket) -> {
             boolean first = "a".equals(message.header("X-Trace-Id"));
-            answer("200 OK", first ? "first" : "second").play(message, socket);
+            answer("200 OK", first ? "first" : "second").run(message, socket);
         })) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+            BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
             assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.SERVED, "first"), nextEndedAttempt());
             upstream.script = SILENT;
-            HeldEventLoop.on(clock, () -> {
-                clock.forward(0.005);
+            BlockedEventLoop.runOn(clock, () -> {
+                clock.advance(0.005);
                 actor.sendAttempt(SECOND_ATTEMPT, request("b"));
             });
             upstream.next();
             upstream.next();
             // A second answer on the first connection, after the second request has been sent.
-            answer("200 OK", "first").play(null, upstream.accepted.get(0));
-            HeldEventLoop.settled(clock);
+            answer("200 OK", "first").run(null, upstream.accepted.get(0));
+            BlockedEventLoop.awaitPolls(clock);
             assertNull(endedAttempts.poll(), "the first request's extra answer was given to the second request");
-            answer("200 OK", "second").play(null, upstream.accepted.get(1));
+            answer("200 OK", "second").run(null, upstream.accepted.get(1));
             assertEquals(new EndedAttempt(SECOND_ATTEMPT, Outcome.SERVED, "second"), nextEndedAttempt());
             // However long the connection was idle, the extra answer is not given to a later request either.
             upstream.accepted.get(1).close();
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             upstream.script = answer("200 OK", "third");
-            HeldEventLoop.on(clock, () -> {
-                clock.forward(0.02);
+            BlockedEventLoop.runOn(clock, () -> {
+                clock.advance(0.02);
                 actor.sendAttempt(FIRST_ATTEMPT, request("c"));
             });
             assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.SERVED, "third"), nextEndedAttempt());
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(1, openConnections(), "the connection that brought two answers is kept");
         }
     }
@@ -262,13 +262,13 @@
     void aRetryConnectedAfterItsDeduplicationWindowIsNotWritten() throws Exception {
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> {
+            BlockedEventLoop.runOn(clock, () -> {
                 actor.sendAttempt(FIRST_ATTEMPT, request("a"), clock.now() + 0.05);
-                clock.execute(() -> clock.forward(0.06));
+                clock.execute(() -> clock.advance(0.06));
             });
             assertEquals(new EndedAttempt(FIRST_ATTEMPT, Outcome.NOT_SENT, null), nextEndedAttempt());
-            HeldEventLoop.settled(clock);
-            assertEquals(0, upstream.seen.size());
+            BlockedEventLoop.awaitPolls(clock);
+            assertEquals(0, upstream.received.size());
         }
     }
 
@@ -278,8 +278,8 @@
         try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
             UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
             for (int i = 0; i < 5; i++) {
-                HeldEventLoop.on(clock, () -> {
-                    clock.forward(0.02);
+                BlockedEventLoop.runOn(clock, () -> {
+                    clock.advance(0.02);
                     actor.sendAttempt(FIRST_ATTEMPT, request("a"));
                 });
                 nextEndedAttempt();
@@ -294,19 +294,19 @@
         for (boolean reset : new boolean[] {false, true}) {
             try (ScriptedServer upstream = new ScriptedServer(answer("200 OK", "u"))) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
                 nextEndedAttempt();
-                HeldEventLoop.on(clock, () -> clock.forward(0.02));
+                BlockedEventLoop.runOn(clock, () -> clock.advance(0.02));
                 Socket upstreamSocket = upstream.accepted.get(0);
                 int localPort = upstreamSocket.getLocalPort();
                 int remotePort = upstreamSocket.getPort();
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop blockedLoop = new BlockedEventLoop(clock)) {
                     upstreamSocket.setSoLinger(reset, 0);
                     upstreamSocket.close();
-                    HeldEventLoop.ended(upstreamSocket, localPort, remotePort);
+                    BlockedEventLoop.awaitClosed(upstreamSocket, localPort, remotePort);
                     // The attempt is in the mailbox before the loop polls the kernel.
                     actor.sendAttempt(SECOND_ATTEMPT, request("b"));
-                    held.letGo();
+                    blockedLoop.release();
                 }
                 assertEquals(new EndedAttempt(SECOND_ATTEMPT, Outcome.SERVED, "u"), nextEndedAttempt());
                 assertEquals(2, upstream.accepted.size());
@@ -321,22 +321,22 @@
         for (boolean isCancelFirst : new boolean[] {true, false}) {
             try (ScriptedServer upstream = new ScriptedServer(SILENT)) {
                 UpstreamActor actor = actor(upstream.serverSocket.getLocalPort());
-                HeldEventLoop.on(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
+                BlockedEventLoop.runOn(clock, () -> actor.sendAttempt(FIRST_ATTEMPT, request("a")));
                 upstream.next();
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop blockedLoop = new BlockedEventLoop(clock)) {
                     Socket upstreamSocket = upstream.accepted.get(0);
-                    answer("200 OK", "u").play(null, upstreamSocket);
-                    HeldEventLoop.unread(upstreamSocket, 10);
+                    answer("200 OK", "u").run(null, upstreamSocket);
+                    BlockedEventLoop.awaitUnread(upstreamSocket, 10);
                     if (isCancelFirst) {
                         actor.cancelAttempt(FIRST_ATTEMPT, Outcome.TIMED_OUT);
                     } else {
                         clock.execute(
                                 () -> clock.afterPoll(() -> actor.cancelAttempt(FIRST_ATTEMPT, Outcome.TIMED_OUT)));
                     }
-                    held.letGo();
+                    blockedLoop.release();
                 }
                 assertEquals(isCancelFirst ? Outcome.TIMED_OUT : Outcome.SERVED, nextEndedAttempt().outcome);
-                HeldEventLoop.settled(clock);
+                BlockedEventLoop.awaitPolls(clock);
                 assertTrue(endedAttempts.isEmpty(), "the attempt ended twice");
                 assertEquals(isCancelFirst ? 0 : 1, openConnections());
             }
@@ -351,7 +351,7 @@
             unusedPort = free.getLocalPort();
         }
         UpstreamActor refusing = actor(unusedPort);
-        HeldEventLoop.on(clock, () -> refusing.sendAttempt(FIRST_ATTEMPT, request("a")));
+        BlockedEventLoop.runOn(clock, () -> refusing.sendAttempt(FIRST_ATTEMPT, request("a")));
         assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
         assertEquals(0, openConnections());
         // Two connections fill the listen queue, so that a further connect stays pending.
@@ -361,37 +361,37 @@
             queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
             queueFillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
             UpstreamActor hanging = actor(fullServer.getLocalPort());
-            HeldEventLoop.on(clock, () -> hanging.sendAttempt(FIRST_ATTEMPT, request("a")));
+            BlockedEventLoop.runOn(clock, () -> hanging.sendAttempt(FIRST_ATTEMPT, request("a")));
             assertEquals(1, openConnections());
-            HeldEventLoop.on(clock, () -> clock.forward(0.2));
+            BlockedEventLoop.runOn(clock, () -> clock.advance(0.2));
             assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
             assertEquals(0, openConnections());
-            HeldEventLoop.on(clock, () -> {
+            BlockedEventLoop.runOn(clock, () -> {
                 hanging.sendAttempt(FIRST_ATTEMPT, request("a"));
                 hanging.cancelAttempt(FIRST_ATTEMPT, Outcome.CANCELLED);
             });
             assertEquals(Outcome.CANCELLED, nextEndedAttempt().outcome);
             assertEquals(0, openConnections());
             UpstreamActor reachable = actor(upstream.serverSocket.getLocalPort());
-            HeldEventLoop.on(clock, () -> reachable.sendAttempt(FIRST_ATTEMPT, request("a")));
+            BlockedEventLoop.runOn(clock, () -> reachable.sendAttempt(FIRST_ATTEMPT, request("a")));
             nextEndedAttempt();
             assertEquals(1, openConnections());
             upstream.accepted.get(0).close();
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(0, openConnections());
             // Five at once; four are allowed.
             upstream.script = SILENT;
             for (int i = 0; i < 5; i++) {
                 AttemptId attempt = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> reachable.sendAttempt(attempt, request("q")));
+                BlockedEventLoop.runOn(clock, () -> reachable.sendAttempt(attempt, request("q")));
             }
             assertEquals(Outcome.CONNECT_FAILED, nextEndedAttempt().outcome);
             assertEquals(4, openConnections());
             for (int i = 0; i < 5; i++) {
                 AttemptId attempt = new AttemptId(new RequestId("q" + i), 0);
-                HeldEventLoop.on(clock, () -> reachable.cancelAttempt(attempt, Outcome.TIMED_OUT));
+                BlockedEventLoop.runOn(clock, () -> reachable.cancelAttempt(attempt, Outcome.TIMED_OUT));
             }
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
             assertEquals(0, openConnections());
         } finally {
             for (Socket filler : queueFillers) {
@@ -414,19 +414,20 @@
             String fullServerAddress = "127.0.0.1:" + fullServer.getLocalPort();
             fixture.discovery.next();
             String list = "{\"seq\":9,\"whole\":true,\"hosts\":["
-                    + SidecarFixture.host("slow", fullServerAddress, "SERVING") + "]}";
-            answer("200 OK", list).play(null, fixture.discovery.accepted.get(0));
+                    + SidecarFixture.endpointRow("slow", fullServerAddress, "SERVING") + "]}";
+            answer("200 OK", list).run(null, fixture.discovery.accepted.get(0));
             fixture.discovery.next();
             Socket client = fixture.connect();
-            client.getOutputStream().write(SidecarFixture.issue("a", 900).getBytes(ISO_8859_1));
+            client.getOutputStream().write(SidecarFixture.issueRequest("a", 900).getBytes(ISO_8859_1));
             AtomicInteger open = new AtomicInteger();
             while (open.get() == 0) {
-                HeldEventLoop.on(fixture.sidecar.loop, () -> open.set(fixture.sidecar.upstreamConnector.openCount()));
+                BlockedEventLoop.runOn(
+                        fixture.sidecar.loop, () -> open.set(fixture.sidecar.upstreamConnector.openCount()));
             }
-            String rows = SidecarFixture.host("slow", fullServerAddress, "DRAINING") + ","
-                    + SidecarFixture.host("other", other.address(), "SERVING");
+            String rows = SidecarFixture.endpointRow("slow", fullServerAddress, "DRAINING") + ","
+                    + SidecarFixture.endpointRow("other", other.address(), "SERVING");
             answer("200 OK", "{\"seq\":10,\"whole\":false,\"hosts\":[" + rows + "]}")
-                    .play(null, fixture.discovery.accepted.get(0));
+                    .run(null, fixture.discovery.accepted.get(0));
             long start = System.nanoTime();
             Message response = Message.read(client.getInputStream());
             assertEquals("other", new String(response.body(), ISO_8859_1));
@@ -448,21 +449,28 @@
             Socket silent = fixture.connect();
             Socket partial = fixture.connect();
             assertEquals(
-                    200, SidecarFixture.ask(idle, SidecarFixture.read("a", 900)).status());
+                    200,
+                    SidecarFixture.exchange(idle, SidecarFixture.readRequest("a", 900))
+                            .status());
             partial.getOutputStream()
-                    .write(SidecarFixture.read("h", 900).substring(0, 40).getBytes(ISO_8859_1));
-            HeldEventLoop.settled(fixture.sidecar.loop);
-            try (HeldEventLoop held = new HeldEventLoop(fixture.sidecar.loop)) {
+                    .write(SidecarFixture.readRequest("h", 900).substring(0, 40).getBytes(ISO_8859_1));
+            BlockedEventLoop.awaitPolls(fixture.sidecar.loop);
+            try (BlockedEventLoop blockedLoop = new BlockedEventLoop(fixture.sidecar.loop)) {
                 long start = System.nanoTime();
-                idle.getOutputStream().write(SidecarFixture.read("b", 900).getBytes(ISO_8859_1));
-                silent.getOutputStream().write(SidecarFixture.read("c", 900).getBytes(ISO_8859_1));
+                idle.getOutputStream()
+                        .write(SidecarFixture.readRequest("b", 900).getBytes(ISO_8859_1));
+                silent.getOutputStream()
+                        .write(SidecarFixture.readRequest("c", 900).getBytes(ISO_8859_1));
                 partial.getOutputStream()
-                        .write(SidecarFixture.read("h", 900).substring(40).getBytes(ISO_8859_1));
-                HeldEventLoop.unread(silent, SidecarFixture.read("c", 900).length());
+                        .write(SidecarFixture.readRequest("h", 900)
+                                .substring(40)
+                                .getBytes(ISO_8859_1));
+                BlockedEventLoop.awaitUnread(
+                        silent, SidecarFixture.readRequest("c", 900).length());
                 while (System.nanoTime() - start < 1_300_000_000L) {
                     Thread.onSpinWait();
                 }
-                held.letGo();
+                blockedLoop.release();
             }
             for (Socket client : List.of(idle, silent, partial)) {
                 Message response = Message.read(client.getInputStream());
--- a/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
@@ -87,7 +87,7 @@
                     }
                     return new UpstreamActor(clock, log, toUpstreams, loadBalancer, 0.1, 1, socketAddress);
                 });
-        HeldEventLoop.on(clock, () -> {
+        BlockedEventLoop.runOn(clock, () -> {
             try {
                 discoveryActor.loadCached(config.cachedEndpoints());
             } catch (Exception e) {
@@ -95,7 +95,7 @@
             }
             loadBalancer.start(discoveryActor, null);
         });
-        assertTrue(discovery.next().first().contains("index=7&wait=20000"));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=20000"));
     }
 
     @AfterEach
@@ -110,79 +110,80 @@
 
     private int connectionsToDiscovery() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        HeldEventLoop.on(clock, () -> count.set(toDiscovery.openCount()));
+        BlockedEventLoop.runOn(clock, () -> count.set(toDiscovery.openCount()));
         return count.get();
     }
 
     private void advanceClock(double seconds) throws Exception {
-        HeldEventLoop.on(clock, () -> clock.forward(seconds));
-        HeldEventLoop.settled(clock);
+        BlockedEventLoop.runOn(clock, () -> clock.advance(seconds));
+        BlockedEventLoop.awaitPolls(clock);
     }
 
     /** Guards against a backoff after an unanswered watch: a missed change must be read within 2 s of its wait. */
     @Test
     void anUnansweredWatchIsReplacedSoonAfterItsWait() throws Exception {
         advanceClock(20.4);
-        assertNull(discovery.seen.poll(), "the call was given up within its wait");
+        assertNull(discovery.received.poll(), "the call was given up within its wait");
         advanceClock(0.2);
-        SidecarFixture.Message nextCall = discovery.seen.poll(1, TimeUnit.SECONDS);
+        SidecarFixture.Message nextCall = discovery.received.poll(1, TimeUnit.SECONDS);
         assertNotNull(nextCall, "no new call after 20.6 s");
         // After a timeout the next call has a short wait, so that a change is read within 6 s.
-        assertTrue(nextCall.first().contains("index=7&wait=3000"), nextCall.first());
+        assertTrue(nextCall.startLine().contains("index=7&wait=3000"), nextCall.startLine());
         assertEquals(2, discovery.accepted.size());
-        assertNotNull(discovery.ended.poll(1, TimeUnit.SECONDS), "the connection of the unanswered call stays open");
-        answer("200 OK", endpointList(7, false, "")).play(null, discovery.accepted.get(1));
-        assertTrue(discovery.next().first().contains("index=7&wait=20000"));
+        assertNotNull(discovery.closed.poll(1, TimeUnit.SECONDS), "the connection of the unanswered call stays open");
+        answer("200 OK", endpointList(7, false, "")).run(null, discovery.accepted.get(1));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=20000"));
         // After an answer the next call has the long wait again.
         advanceClock(20.4);
-        assertNull(discovery.seen.poll());
+        assertNull(discovery.received.poll());
         assertEquals(2, discovery.accepted.size());
     }
 
     /** Guards against waiting 20.5 s for a call that discovery accepts after an outage and never answers. */
     @Test
     void anUnansweredCallAfterAnOutageIsReplacedAfterAShortWait() throws Exception {
-        SidecarFixture.RESET.play(null, discovery.accepted.get(0));
-        discovery.ended.poll(5, TimeUnit.SECONDS);
-        HeldEventLoop.settled(clock);
+        SidecarFixture.RESET.run(null, discovery.accepted.get(0));
+        discovery.closed.poll(5, TimeUnit.SECONDS);
+        BlockedEventLoop.awaitPolls(clock);
         double waited = 0;
         // Counts the sidecar's connections: the server's thread may see the call late, while the clock moves on.
         for (; connectionsToDiscovery() == 0 && waited < 0.5; waited += 0.05) {
             advanceClock(0.05);
         }
         assertTrue(
-                discovery.next().first().contains("index=7&wait=3000"), "no call with the short wait after " + waited);
+                discovery.next().startLine().contains("index=7&wait=3000"),
+                "no call with the short wait after " + waited);
         advanceClock(3.4);
-        assertNull(discovery.seen.poll(), "the call was given up within its wait");
+        assertNull(discovery.received.poll(), "the call was given up within its wait");
         advanceClock(0.2);
-        assertTrue(discovery.next().first().contains("index=7&wait=3000"));
+        assertTrue(discovery.next().startLine().contains("index=7&wait=3000"));
         assertEquals(3, discovery.accepted.size(), "the new call has a connection of its own");
         // The earlier call is not closed before the later one has its answer.
-        assertNull(discovery.ended.poll(50, TimeUnit.MILLISECONDS));
-        answer("200 OK", endpointList(9, false, SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING")))
-                .play(null, discovery.accepted.get(2));
-        assertTrue(discovery.next().first().contains("index=9&wait=20000"));
-        assertNotNull(discovery.ended.poll(5, TimeUnit.SECONDS), "the connection of the unanswered call stays open");
+        assertNull(discovery.closed.poll(50, TimeUnit.MILLISECONDS));
+        answer("200 OK", endpointList(9, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING")))
+                .run(null, discovery.accepted.get(2));
+        assertTrue(discovery.next().startLine().contains("index=9&wait=20000"));
+        assertNotNull(discovery.closed.poll(5, TimeUnit.SECONDS), "the connection of the unanswered call stays open");
         assertTrue(logged.toString(ISO_8859_1).contains("endpoint list: version=9 "), logged.toString(ISO_8859_1));
         advanceClock(20.4);
-        assertNull(discovery.seen.poll(), "more than one watch is open");
+        assertNull(discovery.received.poll(), "more than one watch is open");
     }
 
     /** Guards against dropping an answer that is unread in the kernel when the call times out. */
     @Test
     void anAnswerThatIsUnreadAtTheTimeoutIsRead() throws Exception {
-        String row = SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING");
-        try (HeldEventLoop held = new HeldEventLoop(clock)) {
+        String row = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING");
+        try (BlockedEventLoop blockedLoop = new BlockedEventLoop(clock)) {
             Socket discoverySocket = discovery.accepted.get(0);
-            answer("200 OK", endpointList(9, false, row)).play(null, discoverySocket);
-            HeldEventLoop.unread(discoverySocket, 100);
+            answer("200 OK", endpointList(9, false, row)).run(null, discoverySocket);
+            BlockedEventLoop.awaitUnread(discoverySocket, 100);
             // The timer fires in the loop iteration that could read the answer.
-            clock.execute(() -> clock.forward(25));
-            held.letGo();
+            clock.execute(() -> clock.advance(25));
+            blockedLoop.release();
             SidecarFixture.Message next = discovery.next();
-            assertTrue(next.first().contains("index=9"), next.first());
+            assertTrue(next.startLine().contains("index=9"), next.startLine());
         }
-        HeldEventLoop.settled(clock);
+        BlockedEventLoop.awaitPolls(clock);
         assertEquals(1, discovery.accepted.size(), "the connection of the answered watch was replaced");
         assertTrue(logged.toString(ISO_8859_1).contains("endpoint list: version=9 "), logged.toString(ISO_8859_1));
     }
@@ -190,10 +191,10 @@
     /** The answer is read before the timer fires. */
     @Test
     void theTimeoutOfAnAnsweredCallEndsNothing() throws Exception {
-        answer("200 OK", endpointList(9, false, "")).play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=9"));
+        answer("200 OK", endpointList(9, false, "")).run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=9"));
         advanceClock(20.4);
-        assertNull(discovery.seen.poll());
+        assertNull(discovery.received.poll());
         assertEquals(1, discovery.accepted.size());
     }
 
@@ -203,7 +204,7 @@
         try (ServerSocket serverSocket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Connector connector = new Connector(clock, new DefaultByteBufferPool(true, 16384), 1, n -> {});
             BlockingQueue<String> results = new LinkedBlockingQueue<>();
-            HeldEventLoop held = new HeldEventLoop(clock);
+            BlockedEventLoop blockedLoop = new BlockedEventLoop(clock);
             clock.execute(() -> {
                 connector.connect(
                         (InetSocketAddress) serverSocket.getLocalSocketAddress(),
@@ -216,9 +217,9 @@
                 } catch (Exception e) {
                     results.add(e.toString());
                 }
-                clock.forward(0.2);
+                clock.advance(0.2);
             });
-            held.letGo();
+            blockedLoop.release();
             assertEquals("opened", results.poll(5, TimeUnit.SECONDS));
             assertEquals(1, connector.openCount());
         }
@@ -229,7 +230,7 @@
     void aConnectThatCannotBeginIsNotCounted() throws Exception {
         Connector connector = new Connector(clock, new DefaultByteBufferPool(true, 16384), 1, n -> {});
         BlockingQueue<String> results = new LinkedBlockingQueue<>();
-        HeldEventLoop.on(
+        BlockedEventLoop.runOn(
                 clock, () -> connector.connect(null, 0.1, link -> results.add("opened"), () -> results.add("failed")));
         assertEquals("failed", results.poll(5, TimeUnit.SECONDS));
         assertEquals(0, connector.openCount());
@@ -238,18 +239,18 @@
     /** Guards against changes of an older version undoing newer ones. */
     @Test
     void anOlderVersionIsIgnoredAndTheCompleteListIsRequestedAtOnce() throws Exception {
-        answer("200 OK", endpointList(9, false, SidecarFixture.host("s-0", "127.0.0.1:9", "DRAINING")))
-                .play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=9"));
-        answer("200 OK", endpointList(8, false, SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING")))
-                .play(null, discovery.accepted.get(0));
-        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().first());
+        answer("200 OK", endpointList(9, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DRAINING")))
+                .run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=9"));
+        answer("200 OK", endpointList(8, false, SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING")))
+                .run(null, discovery.accepted.get(0));
+        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().startLine());
         assertEquals(1, discovery.accepted.size());
         assertFalse(logged.toString(ISO_8859_1).contains("endpoint list: version=8 "), logged.toString(ISO_8859_1));
         // A complete list is applied whatever its version.
-        answer("200 OK", endpointList(8, true, SidecarFixture.host("s-1", "127.0.0.1:9", "SERVING")))
-                .play(null, discovery.accepted.get(0));
-        assertTrue(discovery.next().first().contains("index=8"));
+        answer("200 OK", endpointList(8, true, SidecarFixture.endpointRow("s-1", "127.0.0.1:9", "SERVING")))
+                .run(null, discovery.accepted.get(0));
+        assertTrue(discovery.next().startLine().contains("index=8"));
         assertTrue(logged.toString(ISO_8859_1)
                 .contains("endpoint list: version=8 update=COMPLETE ready=1 draining=0 gone=1"));
     }
@@ -258,16 +259,16 @@
     @Test
     void aListThatCannotBeAppliedIsRequestedAgain() throws Exception {
         failingAddress.set("127.0.0.1:8");
-        String row = SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING");
-        String failing = SidecarFixture.host("s-1", "127.0.0.1:8", "SERVING");
-        answer("200 OK", endpointList(9, false, row + "," + failing)).play(null, discovery.accepted.get(0));
+        String row = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING");
+        String failing = SidecarFixture.endpointRow("s-1", "127.0.0.1:8", "SERVING");
+        answer("200 OK", endpointList(9, false, row + "," + failing)).run(null, discovery.accepted.get(0));
         awaitLogged("endpoint list not applied: version=9: java.lang.IllegalStateException: planted");
         advanceClock(0.5);
-        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().first());
+        assertEquals("GET /discovery/hosts HTTP/1.1", discovery.next().startLine());
         assertEquals(1, createdUpstreams.get("127.0.0.1:9"));
         Socket discoverySocket = discovery.accepted.get(discovery.accepted.size() - 1);
-        answer("200 OK", endpointList(9, true, row)).play(null, discoverySocket);
-        assertTrue(discovery.next().first().contains("index=9"));
+        answer("200 OK", endpointList(9, true, row)).run(null, discoverySocket);
+        assertTrue(discovery.next().startLine().contains("index=9"));
         assertEquals(List.of("s-0"), upstreamIds());
         assertEquals(
                 2,
@@ -277,7 +278,7 @@
 
     private void awaitLogged(String text) throws Exception {
         for (int i = 0; i < 100 && !logged.toString(ISO_8859_1).contains(text); i++) {
-            HeldEventLoop.settled(clock);
+            BlockedEventLoop.awaitPolls(clock);
         }
         assertTrue(logged.toString(ISO_8859_1).contains(text), logged.toString(ISO_8859_1));
     }
@@ -285,29 +286,29 @@
     /** Removes and adds an upstream in one list, in either order; also covers a complete list without rows. */
     @Test
     void theLastRowOfADuplicateIdInOneListCounts() throws Exception {
-        String serves = SidecarFixture.host("s-0", "127.0.0.1:9", "SERVING");
-        String gone = SidecarFixture.host("s-0", "127.0.0.1:9", "DELETED");
+        String serves = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "SERVING");
+        String gone = SidecarFixture.endpointRow("s-0", "127.0.0.1:9", "DELETED");
         Socket discoverySocket = discovery.accepted.get(0);
-        answer("200 OK", endpointList(9, false, serves)).play(null, discoverySocket);
+        answer("200 OK", endpointList(9, false, serves)).run(null, discoverySocket);
         discovery.next();
-        answer("200 OK", endpointList(10, false, gone + "," + serves)).play(null, discoverySocket);
+        answer("200 OK", endpointList(10, false, gone + "," + serves)).run(null, discoverySocket);
         discovery.next();
         assertEquals(List.of("s-0"), upstreamIds());
-        answer("200 OK", endpointList(11, false, serves + "," + gone)).play(null, discoverySocket);
+        answer("200 OK", endpointList(11, false, serves + "," + gone)).run(null, discoverySocket);
         discovery.next();
         assertEquals(List.of(), upstreamIds());
-        answer("200 OK", endpointList(12, false, serves)).play(null, discoverySocket);
+        answer("200 OK", endpointList(12, false, serves)).run(null, discoverySocket);
         discovery.next();
         answer("200 OK", "\n  " + endpointList(13, true, "").replace(",", " ,\n\t"))
-                .play(null, discoverySocket);
-        assertTrue(discovery.next().first().contains("index=13"));
+                .run(null, discoverySocket);
+        assertTrue(discovery.next().startLine().contains("index=13"));
         assertEquals(List.of(), upstreamIds());
     }
 
     /** Returns the ids in the form that a successor gets them in. */
     private List<String> upstreamIds() throws Exception {
         List<String> ids = new ArrayList<>();
-        HeldEventLoop.on(
+        BlockedEventLoop.runOn(
                 clock,
                 () -> discoveryActor.endpointRows().forEach(each -> ids.add((String) ((Map<?, ?>) each).get("host"))));
         return ids;
@@ -318,28 +319,28 @@
     void aNewAddressThatArrivesWithTheOldWatchsAnswerOrTimeoutIsUsed() throws Exception {
         for (boolean answered : new boolean[] {true, false}) {
             try (ScriptedServer second = new ScriptedServer(SidecarFixture.SILENT)) {
-                try (HeldEventLoop held = new HeldEventLoop(clock)) {
+                try (BlockedEventLoop blockedLoop = new BlockedEventLoop(clock)) {
                     if (answered) {
                         Socket discoverySocket = discovery.accepted.get(discovery.accepted.size() - 1);
-                        answer("200 OK", endpointList(20, false, "")).play(null, discoverySocket);
-                        HeldEventLoop.unread(discoverySocket, 30);
+                        answer("200 OK", endpointList(20, false, "")).run(null, discoverySocket);
+                        BlockedEventLoop.awaitUnread(discoverySocket, 30);
                     }
                     if (!answered) {
                         // The fired timer waits for the next poll; the new address arrives before that.
-                        clock.execute(() -> clock.forward(20.6));
+                        clock.execute(() -> clock.advance(20.6));
                     }
                     discoveryActor.setAddress((InetSocketAddress) second.serverSocket.getLocalSocketAddress());
-                    held.letGo();
+                    blockedLoop.release();
                 }
-                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().first());
-                answer("200 OK", endpointList(3, true, "")).play(null, second.accepted.get(0));
-                assertTrue(second.next().first().contains("index=3"));
-                HeldEventLoop.settled(clock);
-                assertTrue(discovery.seen.isEmpty(), "discovery at the old address was called again");
+                assertEquals("GET /discovery/hosts HTTP/1.1", second.next().startLine());
+                answer("200 OK", endpointList(3, true, "")).run(null, second.accepted.get(0));
+                assertTrue(second.next().startLine().contains("index=3"));
+                BlockedEventLoop.awaitPolls(clock);
+                assertTrue(discovery.received.isEmpty(), "discovery at the old address was called again");
                 discoveryActor.setAddress((InetSocketAddress) discovery.serverSocket.getLocalSocketAddress());
                 discovery.next();
                 answer("200 OK", endpointList(5, true, ""))
-                        .play(null, discovery.accepted.get(discovery.accepted.size() - 1));
+                        .run(null, discovery.accepted.get(discovery.accepted.size() - 1));
                 discovery.next();
             }
         }
--- a/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
+++ b/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
@@ -25,8 +25,9 @@
 import portrelay.policy.LoadBalancer;
 
 /**
- * What one sidecar's real decisions cost by the length of its endpoint list: the first list, a changed row, a request,
- * a received message, and memory. Medians of several measurements after a warm-up.
+ * Measures the cost of one sidecar's production load balancer as a function of the length of its endpoint list: the
+ * time for the first list, a changed row, a request and a received message, and the memory. Times are medians of
+ * several measurements after a warm-up; memory is the maximum.
  */
 public final class ScalingBenchmark {
 
@@ -34,7 +35,7 @@
     private static final int WARM_UPS = 3;
     private static final int REQUESTS = 400;
     private static final int CHANGED_ROWS = 10;
-    private static final double START = 100;
+    private static final double START_TIME = 100;
     private static final double DEADLINE_SECONDS = 2;
     private static final double LATENCY_SECONDS = 0.02;
     private static final double PAUSE_SECONDS = 0.005;
@@ -52,7 +53,7 @@
 
     private ScalingBenchmark() {}
 
-    /** Microseconds and bytes of one measurement. */
+    /** The results of one measurement: times in microseconds, and bytes of memory. */
     private record Costs(
             double firstListMicros,
             double changedRowMicros,
@@ -61,12 +62,12 @@
             double memoryBytes) {}
 
     /**
-     * Measures one sidecar's decisions.
+     * Measures the load balancer of one sidecar.
      *
-     * @param upstreams in its endpoint list
-     * @param sidecars that call the same service
-     * @param hasMessages whether they can send each other messages
-     * @return the figures by name: microseconds, and bytes of memory
+     * @param upstreams the number of upstreams in its endpoint list
+     * @param sidecars the number of sidecars that call the same service
+     * @param hasMessages whether these sidecars can send each other messages
+     * @return the figures by name: times in microseconds, and bytes of memory
      */
     public static Map<String, Object> measure(int upstreams, int sidecars, boolean hasMessages) {
         List<Endpoint> endpoints = new ArrayList<>();
@@ -88,29 +89,30 @@
         figures.put("changed_row_us", median(costs, Costs::changedRowMicros));
         figures.put("request_us", median(costs, Costs::requestMicros));
         figures.put("word_us", median(costs, Costs::messageMicros));
-        // The most: the collector may not have freed what the measurement before left.
+        // The maximum: garbage of the previous measurement that is freed only during this one lowers its figure.
         figures.put(
                 "memory_bytes",
                 costs.stream().mapToDouble(Costs::memoryBytes).max().orElse(0));
         return figures;
     }
 
-    /** In a frame of its own, so that nothing of one measurement is reachable in the next. */
+    /** Measures once, in a stack frame of its own, so that no object of one measurement is reachable in the next. */
     private static Costs measureOnce(List<Endpoint> endpoints, int seed, int sidecars, boolean hasMessages) {
-        LastActions actions = new LastActions();
+        RecordingActions actions = new RecordingActions();
         long memoryBefore = usedMemory();
         LoadBalancer loadBalancer = new LoadBalancer(actions, seed, config(sidecars, hasMessages));
-        loadBalancer.start(START);
-        double firstList = micros(() -> loadBalancer.endpointsUpdated(START, EndpointUpdate.COMPLETE, endpoints));
-        double changedRow = micros(() -> {
+        loadBalancer.start(START_TIME);
+        double firstList =
+                measureMicros(() -> loadBalancer.endpointsUpdated(START_TIME, EndpointUpdate.COMPLETE, endpoints));
+        double changedRow = measureMicros(() -> {
                     for (int i = 0; i < CHANGED_ROWS; i++) {
                         loadBalancer.endpointsUpdated(
-                                START + 0.1, EndpointUpdate.INCREMENTAL, List.of(endpoint(i % endpoints.size())));
+                                START_TIME + 0.1, EndpointUpdate.INCREMENTAL, List.of(endpoint(i % endpoints.size())));
                     }
                 })
                 / CHANGED_ROWS;
-        double[] now = {START + 1};
-        double request = micros(() -> {
+        double[] now = {START_TIME + 1};
+        double request = measureMicros(() -> {
                     for (int i = 0; i < REQUESTS; i++) {
                         serveRequest(loadBalancer, actions, new RequestId("q" + i), now);
                     }
@@ -119,7 +121,7 @@
         String message = actions.lastMessage;
         double messageCost = message == null
                 ? 0
-                : micros(() -> {
+                : measureMicros(() -> {
                             for (int i = 0; i < REQUESTS; i++) {
                                 int from = 1 + i % Math.max(1, sidecars - 1);
                                 loadBalancer.peerMessageReceived(now[0], from, message);
@@ -132,7 +134,7 @@
         return new Costs(firstList, changedRow, request, messageCost, memory);
     }
 
-    private static void serveRequest(LoadBalancer loadBalancer, LastActions actions, RequestId id, double[] now) {
+    private static void serveRequest(LoadBalancer loadBalancer, RecordingActions actions, RequestId id, double[] now) {
         actions.lastUpstream = null;
         loadBalancer.requestArrived(
                 now[0], new RequestArrival(id, new RequestClassId(0), null, null, now[0] + DEADLINE_SECONDS, 0, false));
@@ -164,7 +166,7 @@
                 new InstanceTypeId(number % 3));
     }
 
-    private static double micros(Runnable action) {
+    private static double measureMicros(Runnable action) {
         long startedAt = System.nanoTime();
         action.run();
         return (System.nanoTime() - startedAt) / NANOS_PER_MICRO;
@@ -179,8 +181,8 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Remembers the last attempt and message, and does nothing. */
-    private static final class LastActions implements LoadBalancerActions {
+    /** Records the last attempt and the last message, and performs no action. */
+    private static final class RecordingActions implements LoadBalancerActions {
         private UpstreamId lastUpstream;
         private String lastMessage;
 
@@ -206,12 +208,12 @@
 
         @Override
         public void wakeUpAt(double time) {
-            // Time passes between the requests only.
+            // Ignored: the benchmark's clock advances only in serveRequest.
         }
 
         @Override
         public void pollDiscovery() {
-            // The benchmark gives the lists.
+            // Ignored: the benchmark delivers the endpoint lists itself.
         }
 
         @Override
@@ -236,7 +238,7 @@
 
         @Override
         public void log(String text) {
-            // Not needed here.
+            // Ignored.
         }
     }
 }
--- a/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
@@ -16,12 +16,13 @@
 import portrelay.policy.LoadBalancer;
 
 /**
- * One process's decisions for one service that it calls, with a simulated network around them. Counts what it sends,
- * and checks each request against the rules, by a bookkeeping of its own.
+ * The load balancer of one sidecar process for one service that it calls, connected to a simulated network. Counts the
+ * messages it sends and receives, and checks each request against the rules, independently of the load balancer's own
+ * state.
  */
 final class SimulatedSidecar implements LoadBalancerActions {
 
-    /** The answer may come so much after the protocol's deadline. */
+    /** Seconds after the deadline within which the protocol still allows an answer. */
     private static final double ANSWER_TOLERANCE_SECONDS = 0.5;
 
     private static final class Attempt {
@@ -33,7 +34,7 @@
         private final RequestClass requestClass;
         private final double arrivedAt;
         private final double deadline;
-        /** Of the process that took it. */
+        /** The incarnation of the sidecar that accepted the request. */
         private final int incarnation;
 
         private final List<Attempt> attempts = new ArrayList<>(2);
@@ -56,11 +57,11 @@
     private final SimulatedFleet fleet;
     private final Map<RequestId, Request> openRequests = new HashMap<>();
     private final Map<UpstreamId, Double> drainKnownSince = new HashMap<>();
-    /** The process that it belongs to. */
+    /** The index of the process to which this load balancer belongs. */
     final int process;
 
     final int service;
-    /** Its index among the sidecars that call this service. */
+    /** The index among the sidecars that call this service. */
     final int index;
 
     final int region;
@@ -79,13 +80,13 @@
         this.region = region;
     }
 
-    /** Starts a new process; the requests of the one before are forgotten, as their clients retry them. */
+    /** Starts a new incarnation; open requests of the previous one are dropped, as their clients retry them. */
     void start() {
         incarnation++;
         openRequests.clear();
         drainKnownSince.clear();
         loadBalancer = fleet.createLoadBalancer(this);
-        timeControl(() -> loadBalancer.start(now()));
+        measureControl(() -> loadBalancer.start(now()));
         fleet.sendEndpoints(this);
     }
 
@@ -94,28 +95,28 @@
     }
 
     void endpointsUpdated(List<Endpoint> endpoints, EndpointUpdate update) {
-        for (Endpoint each : endpoints) {
-            if (each.health() == Endpoint.Health.READY) {
-                drainKnownSince.remove(each.id());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.health() == Endpoint.Health.READY) {
+                drainKnownSince.remove(endpoint.id());
             } else {
-                drainKnownSince.putIfAbsent(each.id(), now());
+                drainKnownSince.putIfAbsent(endpoint.id(), now());
             }
         }
-        timeControl(() -> loadBalancer.endpointsUpdated(now(), update, endpoints));
+        measureControl(() -> loadBalancer.endpointsUpdated(now(), update, endpoints));
     }
 
     void peerMessageReceived(int from, String text) {
         bytesReceived += text.length() + SimulatedFleet.DATAGRAM_HEADER_BYTES;
-        timeControl(() -> loadBalancer.peerMessageReceived(now(), from, text));
+        measureControl(() -> loadBalancer.peerMessageReceived(now(), from, text));
     }
 
-    /** A client's request arrives; the deadline counts from now. */
-    void request(RequestClass requestClass, double secondsToDeadline) {
+    /** Accepts a request of a client. The time to the deadline counts from now. */
+    void requestArrived(RequestClass requestClass, double secondsToDeadline) {
         RequestId id = new RequestId(process + "-" + service + "-" + fleet.counters.requests++);
         Request request = new Request(id, requestClass, now(), now() + secondsToDeadline, incarnation);
         openRequests.put(id, request);
         fleet.events.schedule(secondsToDeadline, () -> deadlinePassed(request));
-        timeRequest(() -> loadBalancer.requestArrived(
+        measureRequest(() -> loadBalancer.requestArrived(
                 now(),
                 new RequestArrival(
                         id,
@@ -143,40 +144,41 @@
         });
     }
 
-    private void attemptEnded(Request request, int index, Outcome outcome) {
-        Attempt attempt = request.attempts.get(index);
+    private void attemptEnded(Request request, int attemptNumber, Outcome outcome) {
+        Attempt attempt = request.attempts.get(attemptNumber);
         if (request.incarnation != incarnation || attempt.outcome != null) {
             return;
         }
         attempt.outcome = outcome;
         request.inFlight--;
         if (outcome == Outcome.SERVED && !request.isAnswered) {
-            answered(request);
+            recordAnswer(request);
             fleet.counters.served++;
             fleet.counters.servedInTime += now() - request.arrivedAt <= request.requestClass.latencyObjective() ? 1 : 0;
         }
-        timeRequest(() -> loadBalancer.attemptEnded(now(), request.id, index, outcome, request.isAnswered, null));
+        measureRequest(
+                () -> loadBalancer.attemptEnded(now(), request.id, attemptNumber, outcome, request.isAnswered, null));
         if (request.isAnswered && request.inFlight == 0) {
             openRequests.remove(request.id);
         }
     }
 
-    private void answered(Request request) {
+    private void recordAnswer(Request request) {
         request.isAnswered = !ignoresAnswers;
     }
 
-    /** For tests of the bookkeeping: from here on no answer is recorded. */
+    /** Stops recording answers from now on, so that tests can provoke an unanswered request. */
     void ignoreAnswers() {
         ignoresAnswers = true;
     }
 
-    private void timeRequest(Runnable decision) {
+    private void measureRequest(Runnable decision) {
         long startedAt = System.nanoTime();
         decision.run();
         fleet.counters.requestNanos += System.nanoTime() - startedAt;
     }
 
-    private void timeControl(Runnable decision) {
+    private void measureControl(Runnable decision) {
         long startedAt = System.nanoTime();
         decision.run();
         fleet.counters.controlNanos += System.nanoTime() - startedAt;
@@ -233,18 +235,18 @@
     @Override
     public void reject(RequestId id, double retryAfter) {
         fleet.counters.rejected++;
-        answeredWithoutUpstream(id);
+        answerWithoutUpstream(id);
     }
 
     @Override
     public void fail(RequestId id) {
         fleet.counters.failed++;
-        answeredWithoutUpstream(id);
+        answerWithoutUpstream(id);
     }
 
-    private void answeredWithoutUpstream(RequestId id) {
+    private void answerWithoutUpstream(RequestId id) {
         Request request = openRequests.get(id);
-        answered(request);
+        recordAnswer(request);
         if (request.inFlight == 0) {
             openRequests.remove(id);
         }
@@ -252,10 +254,10 @@
 
     @Override
     public void wakeUpAt(double time) {
-        int sender = incarnation;
+        int scheduledIncarnation = incarnation;
         fleet.events.scheduleAt(time, () -> {
-            if (sender == incarnation) {
-                timeControl(() -> loadBalancer.wakeUp(now()));
+            if (scheduledIncarnation == incarnation) {
+                measureControl(() -> loadBalancer.wakeUp(now()));
             }
         });
     }
@@ -267,7 +269,7 @@
 
     @Override
     public void probeLoad(UpstreamId upstream) {
-        throw new UnsupportedOperationException("sockets have no probes");
+        throw new UnsupportedOperationException("load probes are not simulated");
     }
 
     @Override
@@ -286,11 +288,11 @@
 
     @Override
     public void closeIdleConnections(UpstreamId upstream) {
-        throw new UnsupportedOperationException("sockets do not offer this");
+        throw new UnsupportedOperationException("closing idle connections is not simulated");
     }
 
     @Override
     public void log(String text) {
-        // Not needed here.
+        // Ignored.
     }
 }
--- a/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
@@ -13,14 +13,18 @@
 import portrelay.standin.Discovery;
 import portrelay.standin.Sidecars;
 
+/**
+ * The command "ready": starts several sidecars at once while discovery refuses most calls, and measures the time until
+ * each is ready. Exits with 0 if nine in ten are ready in time.
+ */
 @Parameters(commandDescription = "time real sidecars that start at once before a discovery that refuses")
 final class ReadyCommand implements Command {
 
-    private static final int BAD_USE = 2;
-    private static final int FAILED = 1;
+    private static final int INVALID_USAGE = 2;
+    private static final int FAILURE = 1;
     private static final int MAX_PROCESSES = 200;
     private static final int MAX_UPSTREAMS = 10_000;
-    /** Of the calls to discovery, while it refuses. */
+    /** The share of calls that discovery refuses at the beginning. */
     private static final double REFUSED_SHARE = 0.9;
 
     private static final long POLL_MILLIS = 20;
@@ -51,20 +55,20 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit ready: " + invalid);
-            return BAD_USE;
+            return INVALID_USAGE;
         }
         try {
             return timeStarts();
         } catch (IOException e) {
             System.err.println("portrelay-kit ready: " + e.getMessage());
-            return FAILED;
+            return FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return FAILED;
+            return FAILURE;
         }
     }
 
-    /** Null where all are valid. */
+    /** Returns a message about the first invalid option; null if all are valid. */
     private String invalidOption() {
         if (processes < 1 || processes > MAX_PROCESSES) {
             return "--processes: 1 to 200";
@@ -100,7 +104,7 @@
         return print(readyAfter);
     }
 
-    /** A thread for each process asks it until it is ready. */
+    /** Polls each process on a thread of its own until it is ready. */
     private void awaitAll(Sidecars sidecars, long startedAt, double[] readyAfter) throws InterruptedException {
         List<Thread> watchers = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
@@ -110,12 +114,15 @@
             watchers.add(watcher);
             watcher.start();
         }
-        for (Thread each : watchers) {
-            each.join();
+        for (Thread watcher : watchers) {
+            watcher.join();
         }
     }
 
-    /** Infinite where it was not ready before the time was over, or ended. */
+    /**
+     * Returns the time from the start until the process was ready; infinity if it ended or did not become ready in
+     * time.
+     */
     private double secondsUntilReady(Sidecars.Instance sidecar, long startedAt) {
         while (secondsSince(startedAt) < giveUpSeconds && sidecar.process().isAlive()) {
             if (Sidecars.isReady(sidecar)) {
@@ -140,15 +147,15 @@
             System.out.printf(Locale.ROOT, "n%d ready after %.2f s%n", i, readyAfter[i]);
         }
         Arrays.sort(readyAfter);
-        double nineInTen = readyAfter[(int) Math.ceil(0.9 * processes) - 1];
+        double p90Seconds = readyAfter[(int) Math.ceil(0.9 * processes) - 1];
         System.out.printf(
                 Locale.ROOT,
                 "%d processes, %d a core: half %.2f s, nine in ten %.2f s, last %.2f s%n",
                 processes,
                 processesPerCore,
                 readyAfter[(processes - 1) / 2],
-                nineInTen,
+                p90Seconds,
                 readyAfter[processes - 1]);
-        return nineInTen <= readyWithinSeconds ? 0 : FAILED;
+        return p90Seconds <= readyWithinSeconds ? 0 : FAILURE;
     }
 }
