--- a/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
+++ b/daemon/src/main/java/portrelay/net/admission/AdmissionActor.java
@@ -23,8 +23,8 @@
 
 /**
  * Drives the {@link AdmissionController}: owns the queued requests, passes admitted ones to the load balancer and
- * answers rejected ones, without any decisions of its own. The controller is only called from this actor's mailbox, so
- * calls to it never nest.
+ * answers rejected ones, without any decisions of its own. Events reach the controller only through this actor's
+ * mailbox, so none reaches it while it makes a decision.
  */
 public final class AdmissionActor implements AdmissionActions {
 
--- a/daemon/src/main/java/portrelay/net/admission/package-info.java
+++ b/daemon/src/main/java/portrelay/net/admission/package-info.java
@@ -3,7 +3,6 @@
  * to the load balancer and answers rejected ones. Depends on {@code upstream}, {@code balancer}, {@code connection} and
  * {@code eventloop}.
  *
- * <p>All code runs on the single I/O thread of its {@link portrelay.net.eventloop.EventLoop}. Times and durations are
- * seconds as {@code double} on its clock, sizes are bytes.
+ * <p>All code runs on the event loop. Times and durations are seconds as {@code double} on its clock, sizes are bytes.
  */
 package portrelay.net.admission;
--- a/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
+++ b/daemon/src/main/java/portrelay/net/balancer/LoadBalancerActor.java
@@ -25,7 +25,7 @@
 
 /**
  * Passes events to the {@link LoadBalancer} and owns the open requests. All methods must be called on the event loop;
- * methods that change state only post a task to the mailbox and return at once.
+ * methods that change state only post a message to the mailbox and return at once.
  */
 public final class LoadBalancerActor implements UpstreamActor.Listener {
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Starts the load balancer. Must be called once, before the mailbox has run any task. Tasks posted before this
-     * call, such as the cached endpoint list, are applied before the load balancer starts.
+     * Starts the load balancer. Must be called once, before the mailbox has run any message. Messages posted before
+     * this call, such as the cached endpoint list, are applied before the load balancer starts.
      *
      * @param peers null if sidecars exchange no messages
      */
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Reports a message from another sidecar.
+     * Reports a message from a peer.
      *
      * @param from the number of the sending sidecar
      */
@@ -232,8 +232,7 @@
         loadBalancer.clientLeft(loop.now(), id);
         if (request.incoming.requestBody() != null
                 && !request.incoming.requestBody().isWritten()) {
-            // The rest of the body will not arrive, so cancel even if the settings do not allow attempts to be
-            // cancelled.
+            // The rest of the body will not arrive, so the attempts are cancelled even if the settings forbid it.
             request.cancelAttempts(Outcome.CANCELLED);
         }
         onCapacityChanged.run();
--- a/daemon/src/main/java/portrelay/net/client/ChunkedBodyCollector.java
+++ b/daemon/src/main/java/portrelay/net/client/ChunkedBodyCollector.java
@@ -8,7 +8,7 @@
 
 /**
  * Reads a body of unknown length until it is complete or longer than {@link HttpCall#MAX_BUFFERED_BODY}. Owns its
- * buffer; the channel remains the property of the exchange.
+ * buffer; the channel remains owned by its exchange.
  */
 final class ChunkedBodyCollector {
 
--- a/daemon/src/main/java/portrelay/net/client/ClientWatch.java
+++ b/daemon/src/main/java/portrelay/net/client/ClientWatch.java
@@ -68,7 +68,7 @@
         read(source());
     }
 
-    /** As {@link #read}, but continues where no more may be kept, as the end of the stream may follow. */
+    /** As {@link #read}, but discards a full read-ahead and reads on, as the end of the stream may follow. */
     void readToEnd() {
         if (readAhead.size() >= MAX_READ_AHEAD_BYTES) {
             startDiscarding();
--- a/daemon/src/main/java/portrelay/net/client/ResponseStream.java
+++ b/daemon/src/main/java/portrelay/net/client/ResponseStream.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Sets the phase so that a client may be evicted only while it does not read. How long the upstream is waited for
-     * is decided by {@link portrelay.net.connection.HttpConnection}.
+     * Sets the phase so that a client may be evicted only while it does not read. The time limits for the upstream are
+     * applied by the {@link BodyTransfer}.
      */
     @Override
     public void waitingFor(BodyTransfer.Side side) {
--- a/daemon/src/main/java/portrelay/net/client/ServiceState.java
+++ b/daemon/src/main/java/portrelay/net/client/ServiceState.java
@@ -14,7 +14,7 @@
 
     /** Time after the switch during which clients may still send, as they act on the readiness that they saw last. */
     private static final double OUT_OF_SERVICE_GRACE_SECONDS = 0.6;
-    /** Idle time after which a connection is closed; a new one may be silent for as long. */
+    /** Idle time after which a connection is closed while out of service; a new one may be silent for as long. */
     private static final double MAX_IDLE_SECONDS = 0.2;
 
     private final EventLoop loop;
--- a/daemon/src/main/java/portrelay/net/connection/Connector.java
+++ b/daemon/src/main/java/portrelay/net/connection/Connector.java
@@ -92,7 +92,10 @@
         return openCount;
     }
 
-    /** Sets the limit; surplus idle connections are closed at once, the others as their exchanges end. */
+    /**
+     * Sets the limit and closes surplus idle connections. Surplus connections in use stay open, also when they become
+     * idle, until their owner closes them or they are closed to make room for a new one.
+     */
     public void setMaxConnections(int connections) {
         maxConnections = connections;
         while (openCount > maxConnections && closeLongestIdle()) {
@@ -148,8 +151,7 @@
             openCount++;
             openCountListener.accept(openCount);
             if (timeoutSeconds > 0) {
-                // After a poll, because if the loop was late, the connection may be open without the loop having seen
-                // it.
+                // After a poll: on a late loop, the connection may be open although the loop has not noticed it yet.
                 timeout = loop.schedule(timeoutSeconds, () -> loop.afterPoll(() -> failed(null)));
             }
             begin(address);
--- a/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
+++ b/daemon/src/main/java/portrelay/net/eventloop/EventLoop.java
@@ -47,7 +47,7 @@
         return thread;
     }
 
-    /** Returns how late this thread runs, measured since {@link #startLagBeat}. To be used on the loop. */
+    /** Returns the lag of this thread, measured since {@link #startLagBeat}. To be used on the loop. */
     public EventLoopLag lag() {
         return lag;
     }
@@ -105,8 +105,8 @@
 
     /**
      * Runs the task once all events that the kernel holds now have been handled. To be called on the loop. Prevents a
-     * timeout although the response has already arrived: XNIO runs every task and due timer before it polls the kernel
-     * again, so on a late loop the timer runs before the response is read.
+     * timeout from ending a call whose response has already arrived: XNIO runs every task and due timer before it polls
+     * the kernel again, so on a late loop the timer runs before the response is read.
      */
     public void afterPoll(Runnable task) {
         try {
--- a/daemon/src/main/java/portrelay/net/handover/HandoverService.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverService.java
@@ -235,7 +235,7 @@
         try {
             executor.execute(() -> runLogged(task));
         } catch (RejectedExecutionException e) {
-            // The sidecar is closed: nobody takes over what it learns now.
+            // The sidecar is closed: later changes of its state are not handed over.
         }
     }
 
--- a/daemon/src/main/java/portrelay/net/handover/HandoverState.java
+++ b/daemon/src/main/java/portrelay/net/handover/HandoverState.java
@@ -15,8 +15,8 @@
     /**
      * A call by an operator.
      *
-     * @param takesOutOfService whether the call took the upstream, or the sidecar, out of service
-     * @param calledAt when the call came
+     * @param takesOutOfService whether the call disabled the upstream, or took the sidecar out of service
+     * @param calledAt when the call was received
      */
     public record OperatorCall(boolean takesOutOfService, double calledAt) {}
 
--- a/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
+++ b/daemon/src/main/java/portrelay/net/handover/OperatorCalls.java
@@ -33,7 +33,7 @@
     /**
      * Records the call unless one of the same time or later is known.
      *
-     * @return whether the call changes if the upstream is disabled
+     * @return whether the call changes the upstream's state, disabled or enabled
      */
     boolean merge(UpstreamId id, HandoverState.OperatorCall call) {
         HandoverState.OperatorCall known = latest.get(id);
--- a/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
+++ b/daemon/src/main/java/portrelay/net/http/BodyTransfer.java
@@ -26,7 +26,9 @@
             return true;
         }
 
-        /** Whether the last byte may be written; called once before it is. If false, the source counts as failed. */
+        /**
+         * Whether the last byte may be written; called once, before that write. If false, the source counts as failed.
+         */
         default boolean mayComplete() {
             return true;
         }
--- a/daemon/src/main/java/portrelay/net/http/WireNames.java
+++ b/daemon/src/main/java/portrelay/net/http/WireNames.java
@@ -3,8 +3,10 @@
 import io.undertow.util.HttpString;
 
 /**
- * Every header, path and field name of the platform's protocol and of the sidecar's configuration file. This class is
- * the only place that maps the names on the wire to the terms of the code.
+ * Every header, path and field name of the platform's HTTP protocol, and the field names of the sidecar's configuration
+ * file. This class is the only place that maps these names to the terms of the code, except for the fields within the
+ * sections {@link #SETTINGS} and {@link #ADMISSION}, which {@code portrelay.settings} and {@code portrelay.admission}
+ * read.
  */
 public final class WireNames {
 
--- a/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/DescriptorBudget.java
@@ -56,8 +56,7 @@
     int maxClientConnections(int openUpstreamConnections) {
         int total = maxConnections();
         int available = total - total / SPARE_DIVISOR - openUpstreamConnections;
-        // Clients that the sibling loses reconnect to this process, so the sum over both processes does not
-        // grow.
+        // Clients that the sibling loses reconnect to this process, so both together hold no more than before.
         int guaranteed = sibling == Sibling.SERVING ? limit / GUARANTEED_CLIENTS_DIVISOR : 1;
         return Math.max(guaranteed, available);
     }
--- a/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/ShutdownActor.java
@@ -22,7 +22,7 @@
     private static final double POLL_INTERVAL_SECONDS = 0.01;
     /** Idle time after which a connection is closed while a successor serves. */
     private static final double IDLE_BEFORE_CLOSE_SECONDS = 0.2;
-    /** Time after which health checks are answered with not ready unless a successor is known by then. */
+    /** Time after which readiness requests are answered with not ready unless a successor is known by then. */
     private static final double SUCCESSOR_TIMEOUT_SECONDS = 0.3;
     /** How long the process waits past its end time for clients that are still connected; SIGKILL may come first. */
     private static final double MAX_END_DELAY_SECONDS = 0.5;
@@ -69,7 +69,10 @@
         loop.execute(() -> begin(signalledAt));
     }
 
-    /** Blocks until the process may end, at most until its end time. May be called from any thread but the loop's. */
+    /**
+     * Blocks until the process may end, at most until {@link #MAX_END_DELAY_SECONDS} after its end time. May be called
+     * from any thread but the loop's.
+     */
     void awaitEnd(double signalledAt) throws InterruptedException {
         // The latest possible end. The shutdown itself may end earlier, as its budget counts from the earliest time
         // at which the signal may have been sent.
--- a/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/Startup.java
@@ -25,8 +25,7 @@
     /** Begins to listen. May be called from any thread. */
     void listen() throws IOException {
         try {
-            // The listener keeps the limit that it is opened with, so this is the limit that applies without a
-            // sibling.
+            // The listener keeps the limit that it is opened with, so it gets the one that applies without a sibling.
             components.frontend.listen(components.worker, config.listen(), config.descriptorLimit());
         } catch (IOException e) {
             throw new IOException("listen: " + e.getMessage(), e);
--- a/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/StatusLog.java
@@ -16,7 +16,7 @@
         this.intervalSeconds = intervalSeconds;
     }
 
-    /** Logs the counters now and then again at each interval, for as long as the loop runs. */
+    /** Logs the counters at once, and again at each interval for as long as the loop runs. */
     void start() {
         // During a shutdown the lag is logged with each of its steps.
         double lag = components.isShuttingDown() ? 0 : components.loop.lag().takeMaxLag();
--- a/daemon/src/main/java/portrelay/net/lifecycle/package-info.java
+++ b/daemon/src/main/java/portrelay/net/lifecycle/package-info.java
@@ -3,7 +3,7 @@
  * {@link portrelay.net.lifecycle.Sidecar}. This package depends on every other package of {@code portrelay.net}; none
  * of them depends on it.
  *
- * <p>Times are seconds as double on the event loop's clock. Everything runs on the event loop unless its doc comment
- * says otherwise.
+ * <p>All code runs on the event loop unless its doc comment says otherwise. Times are seconds as {@code double} on its
+ * clock.
  */
 package portrelay.net.lifecycle;
--- a/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
+++ b/daemon/src/main/java/portrelay/net/peer/PeerAddresses.java
@@ -18,8 +18,8 @@
 public record PeerAddresses(InetSocketAddress listen, List<InetSocketAddress> sidecars, InetSocketAddress broadcast) {
 
     /**
-     * Reads the addresses from the root of the configuration. Returns null if it lacks the address of this sidecar or
-     * those of the sidecars.
+     * Reads the addresses from the root of the configuration. Returns null if the configuration lacks the address at
+     * which this sidecar receives messages, or lists no sidecars.
      *
      * @throws InvalidSettingException if an address is invalid; names the first such address
      */
--- a/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
+++ b/daemon/src/main/java/portrelay/net/upstream/IncomingRequest.java
@@ -32,7 +32,7 @@
 
         /**
          * Returns whether no answer is needed any longer, as it was given or the client has left. Checks whether the
-         * client's connection has been closed, and reports it if so.
+         * client has closed the connection, and if so reports that the client has left.
          */
         boolean isOver();
 
--- a/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
+++ b/daemon/src/main/java/portrelay/net/upstream/UpstreamActor.java
@@ -21,7 +21,7 @@
 
 /**
  * Sends attempts to one upstream: owns all connections to it and reports the end of each attempt exactly once. All
- * methods must be called on the event loop; they only post a task to the mailbox and return at once.
+ * methods must be called on the event loop; they only post a message to the mailbox and return at once.
  */
 public final class UpstreamActor {
 
--- a/daemon/src/main/java/portrelay/simulation/MalformedInputException.java
+++ b/daemon/src/main/java/portrelay/simulation/MalformedInputException.java
@@ -2,7 +2,9 @@
 
 import portrelay.settings.InvalidSettingException;
 
-/** Thrown for input that violates the simulator's protocol. The message names the line, from 1, and what it expects. */
+/**
+ * Thrown for input that violates the simulator's protocol. The message names the line, from 1, and what was expected.
+ */
 public final class MalformedInputException extends Exception {
 
     private static final long serialVersionUID = 1L;
