--- a/examples/ToyServer.java
+++ b/examples/ToyServer.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.Executors;
 
 /**
- * A demo environment for portrelay: three upstreams at 127.0.0.1:9001 to 9003, and a discovery service at 127.0.0.1:8500
- * that lists them. Each upstream answers with its name; the third is slow, so that hedged requests can be seen to win.
+ * A demo environment for portrelay: three upstreams at 127.0.0.1:9001 to 9003, and a discovery service at
+ * 127.0.0.1:8500 that lists them. Each upstream answers with its name; the third is slow, so that hedged requests can
+ * be seen to win.
  *
  * <p>Start it with {@code java examples/ToyServer.java}.
  */
@@ -18,6 +19,7 @@
     private static final int[] PORTS = {9001, 9002, 9003};
     private static final long[] WORK_MS = {20, 30, 400};
 
+    /** Starts the upstreams and the discovery service, which run until the process is killed. */
     public static void main(String[] args) throws IOException {
         List<String> hosts = new ArrayList<>();
         for (int i = 0; i < PORTS.length; i++) {
--- a/kit/src/main/java/portrelay/faulttest/FaultTestClient.java
+++ b/kit/src/main/java/portrelay/faulttest/FaultTestClient.java
@@ -94,8 +94,8 @@
         int clientPort = connection.socket().getLocalPort();
         boolean isOpen = true;
         while (isOpen && !clock.isOver()) {
-            // Writes even if the end has arrived: that the sidecar neither reads nor forwards such a request must not
-            // depend on clients that check for the end.
+            // Writes even if the connection's end has arrived: the sidecar must neither read nor forward such a
+            // request, even if the client does not check for the end.
             long checkedAt = System.nanoTime();
             boolean hadEnded = hasEnded(connection);
             List<SentRequest> batch = sendBatch(connection.socket().getOutputStream());
--- a/kit/src/main/java/portrelay/faulttest/PlayedTimes.java
+++ b/kit/src/main/java/portrelay/faulttest/PlayedTimes.java
@@ -18,8 +18,8 @@
         double clientsStartSeconds, List<SentSignal> signals, double stoppedShare, double plannedStoppedShare) {
 
     /**
-     * The tolerance in seconds: a part of the plan that is played later than this counts as not played, and a pause may
-     * be longer than planned by this much.
+     * The tolerance in seconds: if a signal is sent later than planned by more than this, the plan counts as not
+     * played; a pause may be longer than planned by this much.
      */
     static final double MAX_LATE_SECONDS = 0.05;
 
--- a/kit/src/main/java/portrelay/faulttest/ShutdownClock.java
+++ b/kit/src/main/java/portrelay/faulttest/ShutdownClock.java
@@ -42,7 +42,7 @@
         return termAt;
     }
 
-    /** Returns the time that many seconds after SIGTERM. */
+    /** Returns the time that lies the given number of seconds after SIGTERM. */
     long afterTerm(double seconds) {
         return termAt + (long) (seconds * 1e9);
     }
--- a/kit/src/main/java/portrelay/faulttest/ShutdownPlan.java
+++ b/kit/src/main/java/portrelay/faulttest/ShutdownPlan.java
@@ -16,7 +16,8 @@
  * @param uploadingClients the number of further clients that send streamed bodies
  * @param hangingShare the share of requests that the upstreams never answer, from just before SIGTERM on
  * @param isBeforeReady whether SIGTERM is sent before the process is ready
- * @param runSeconds the time from readiness, or from the first accepted connection, to SIGTERM
+ * @param runSeconds the time from readiness, or from the first accepted connection, to SIGTERM; not used if there is a
+ *     successor
  * @param series the further signals around SIGTERM
  * @param pauses the intervals in which the process is stopped
  * @param stoppedShare the share of each 25 ms after SIGTERM for which the process is stopped; 0 for none
@@ -57,7 +58,7 @@
     private static final double STARVED_SHARE = 0.8;
     private static final double MIN_PAUSE_GAP_SECONDS = 0.02;
 
-    /** The signals beside the first SIGTERM, some milliseconds apart. */
+    /** The signals in addition to the first SIGTERM; {@link SignalTimeline} has their times. */
     public enum Series {
         /** No further signals. */
         NONE,
--- a/kit/src/main/java/portrelay/faulttest/ShutdownReport.java
+++ b/kit/src/main/java/portrelay/faulttest/ShutdownReport.java
@@ -14,7 +14,7 @@
  * @param maxStallSeconds the longest measured time, in seconds, for which the process was stopped or waited for a core
  * @param times the times at which the parts of the plan were actually played
  * @param verdict the rule violations, and the unanswered requests that violate no rule
- * @param log the lines that the sidecar wrote
+ * @param log the lines written by the process that was shut down, not those of a successor
  */
 public record ShutdownReport(
         ShutdownPlan plan,
@@ -31,13 +31,16 @@
     public enum Validity {
         /** The plan was played as drawn. */
         COUNTED,
-        /** The machine kept the process from running for longer than planned. */
+        /** The process was stopped, or waited for a core, for longer than planned. */
         VOID,
         /** The clients started, or the signals were sent, later than planned. */
         NOT_PLAYED
     }
 
-    /** Returns whether the machine let the plan be played as drawn; otherwise the outcome proves nothing. */
+    /**
+     * Returns whether the round counts, or why it does not: if a busy machine kept the plan from being played as drawn,
+     * the outcome proves nothing.
+     */
     public Validity validity() {
         if (!times.notPlayedReason().isEmpty()) {
             return Validity.NOT_PLAYED;
--- a/kit/src/main/java/portrelay/faulttest/SignalSchedulerProcess.java
+++ b/kit/src/main/java/portrelay/faulttest/SignalSchedulerProcess.java
@@ -24,7 +24,10 @@
     private static final double LATE_STOP_SECONDS = 0.002;
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** How many null signals the process sends to itself first, so that the timeline doesn't run on cold code. */
+    /**
+     * How many null signals the process sends to itself first, so that the timeline doesn't run on code that is not
+     * warmed up.
+     */
     private static final int WARM_UP_SIGNALS = 200;
 
     private static final int NO_SIGNAL = 0;
@@ -42,6 +45,7 @@
 
     private SignalSchedulerProcess() {}
 
+    /** Runs the program, which takes no arguments. */
     public static void main(String[] arguments) throws IOException {
         new SignalSchedulerProcess().run();
     }
@@ -90,7 +94,7 @@
         }
     }
 
-    /** Sends the signal, unless an earlier one found no process: its id may have been reused since. */
+    /** Sends the signal, unless an earlier one found no process: the process id may have been reused since. */
     private void send(int pid, Signal signal) {
         hasTargetEnded = hasTargetEnded || libc.kill(pid, signal.number()) != 0;
     }
--- a/kit/src/main/java/portrelay/faulttest/SignalTimeline.java
+++ b/kit/src/main/java/portrelay/faulttest/SignalTimeline.java
@@ -8,8 +8,11 @@
 /** Lists the signals of a plan in the order of their times, which are seconds after SIGTERM. */
 final class SignalTimeline {
 
+    /** While the process is starved, it is stopped once in this time, for the stopped share of the plan. */
     private static final double STARVATION_PERIOD_SECONDS = 0.025;
+
     private static final double STARVATION_START_SECONDS = 0.001;
+    /** The time between the signals of a series. */
     private static final double SERIES_INTERVAL_SECONDS = 0.03;
 
     private SignalTimeline() {}
--- a/kit/src/main/java/portrelay/fleet/FleetCounters.java
+++ b/kit/src/main/java/portrelay/fleet/FleetCounters.java
@@ -23,7 +23,7 @@
     long controlNanos;
 
     long controlCalls;
-    /** Requests without an answer by their deadline and the protocol's tolerance. */
+    /** Requests without an answer by their deadline plus the protocol's tolerance. */
     long unanswered;
     /** Attempts of unsafe requests that may already have been executed by an earlier attempt. */
     long duplicates;
--- a/kit/src/main/java/portrelay/fleet/FleetRun.java
+++ b/kit/src/main/java/portrelay/fleet/FleetRun.java
@@ -50,7 +50,7 @@
         long memory = usedMemory() - memoryBefore;
         Snapshot afterWarmUp = new Snapshot(run.fleet);
         scenario.begin(run.fleet);
-        // Requests still open at the end count neither as served nor as unanswered: their deadlines are yet to come.
+        // Requests still open at the end count neither as served nor as unanswered: their time to answer is not over.
         run.fleet.events.runUntil(WARM_UP_SECONDS + MEASURED_SECONDS);
         double seconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
         run.evaluate(scenario, size, afterWarmUp, memory, seconds);
--- a/kit/src/main/java/portrelay/fleet/Scenario.java
+++ b/kit/src/main/java/portrelay/fleet/Scenario.java
@@ -9,7 +9,10 @@
     /** No event: only ordinary traffic. */
     ORDINARY(fleet -> {}),
 
-    /** A rolling deployment: one by one, each upstream of the largest service drains and a cold one replaces it. */
+    /**
+     * A rolling deployment: one by one, each upstream of the largest service drains and is replaced by a new one, which
+     * has to warm up.
+     */
     DEPLOY(Scenario::deploy),
 
     /** One in ten sidecars restarts, each at a random time within one second. */
@@ -23,8 +26,8 @@
     RACK(fleet -> failUpstreams(fleet, 40, 3, Double.NaN)),
 
     /**
-     * One upstream in twelve stops answering; the endpoint list shows it as gone after 3 s, and it is back, cold, after
-     * 5 s.
+     * One upstream in twelve stops answering; the endpoint list shows it as gone after 3 s, and it is back, warming up,
+     * after 5 s.
      */
     ZONE(fleet -> failUpstreams(fleet, 12, 3, 5)),
 
@@ -77,7 +80,7 @@
      *
      * @param upstreamsPerFailure the share is 1 / {@code upstreamsPerFailure}, at least one upstream
      * @param updateDelay seconds until the endpoint list shows them as gone
-     * @param returnDelay seconds until they are back, cold; NaN for never
+     * @param returnDelay seconds until they are back, warming up; NaN for never
      */
     private static void failUpstreams(
             SimulatedFleet fleet, int upstreamsPerFailure, double updateDelay, double returnDelay) {
--- a/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
@@ -29,9 +29,12 @@
     /** Bytes of the IPv4 and UDP headers. */
     static final int DATAGRAM_HEADER_BYTES = 28;
 
+    /** The delay of an answer, and the minimum delay of a message between sidecars. */
     static final double NETWORK_SECONDS = 0.0005;
+
     /**
-     * The drain grace of the settings plus the protocol's tolerance; no attempt may go to a draining upstream later.
+     * The drain grace of the settings plus the protocol's tolerance. No attempt may be sent to an upstream that the
+     * sidecar has known to be draining for longer.
      */
     static final double DRAIN_GRACE_SECONDS = 0.55;
 
--- a/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
@@ -14,7 +14,7 @@
  */
 final class SimulatedUpstream {
 
-    /** Spreads consecutive numbers over 64 bits, as ids are hashes of names in production. */
+    /** A factor that spreads consecutive numbers over 64 bits: in production, ids are hashes of names. */
     static final long ID_FACTOR = 0x9E3779B97F4A7C15L;
 
     private static final int CELLS = 7;
@@ -94,7 +94,8 @@
 
     /**
      * Updates {@link #slowStartExcess}. The limit is N + 2 * sqrt(N) + 2 attempts within the overload window, where N
-     * is the number that the cores may receive at the capacity of the middle of the window.
+     * is the number that all cores can process in that time at the capacity share of the middle of the window, times
+     * the overload factor.
      */
     private void checkSlowStartBound(double now) {
         recentArrivals[arrivals++ % recentArrivals.length] = now;
--- a/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
@@ -17,7 +17,9 @@
  * The command "ready": starts several sidecars at once while discovery refuses most calls, and measures the time until
  * each is ready. Exits with 0 if nine in ten are ready in time.
  */
-@Parameters(commandDescription = "time real sidecars that start at once before a discovery that refuses")
+@Parameters(
+        commandDescription =
+                "measure how soon real sidecars that start at once are ready while discovery refuses most calls")
 final class ReadyCommand implements Command {
 
     private static final int INVALID_USAGE = 2;
@@ -29,25 +31,29 @@
 
     private static final long POLL_MILLIS = 20;
 
-    @Parameter(names = "--root", description = "the built checkout")
+    @Parameter(names = "--root", description = "root folder of the checkout, which has to be built")
     private String root = ".";
 
-    @Parameter(names = "--processes", description = "how many start at once")
+    @Parameter(names = "--processes", description = "number of sidecars that start at once, 1 to 200")
     private int processes = 10;
 
-    @Parameter(names = "--per-core", description = "how many share one core")
+    @Parameter(names = "--per-core", description = "number of sidecars that share one core, at least 1")
     private int processesPerCore = 10;
 
-    @Parameter(names = "--upstreams", description = "rows of the list that each one knows")
+    @Parameter(names = "--upstreams", description = "number of rows in the endpoint list, 0 to 10000")
     private int upstreams = 200;
 
-    @Parameter(names = "--refuse-s", description = "seconds in which discovery refuses nine calls of ten")
+    @Parameter(
+            names = "--refuse-s",
+            description = "seconds from the start for which discovery refuses nine in ten of its calls")
     private double refusingSeconds = 5;
 
-    @Parameter(names = "--within-s", description = "nine of ten have to be ready by then")
+    @Parameter(names = "--within-s", description = "seconds within which nine in ten sidecars have to be ready")
     private double readyWithinSeconds = 10;
 
-    @Parameter(names = "--give-up-s", description = "when to stop waiting for the last one")
+    @Parameter(
+            names = "--give-up-s",
+            description = "seconds after which to stop waiting for sidecars that are not ready")
     private double giveUpSeconds = 60;
 
     @Override
--- a/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
@@ -26,7 +26,9 @@
  * broken or, with {@code --budget}, a cost is over its budget. With {@code --slopes}, measures the load balancer of a
  * single sidecar instead.
  */
-@Parameters(commandDescription = "play simulated sidecars, many in one process: what the fleet's size costs")
+@Parameters(
+        commandDescription =
+                "simulate fleets of sidecars in one process to measure how costs grow with the size of the fleet")
 final class ScaleCommand implements Command {
 
     private static final int INVALID_USAGE = 2;
@@ -47,34 +49,49 @@
     private static final int MAX_ATTEMPTS_WITH_HEDGES_ONLY = 2;
     private static final double[] FAILING_SHARES = {0.01, 0.1, 0.5, 1};
 
-    @Parameter(names = "--sidecars", description = "sizes of the fleet, with as many upstreams")
+    @Parameter(
+            names = "--sidecars",
+            description =
+                    "numbers of sidecars, 2 to 5000, separated by commas; one fleet for each, with as many upstreams "
+                            + "unless --small is given")
     private List<Integer> sidecars = new ArrayList<>(List.of(14, 100, 450, 1800));
 
-    @Parameter(names = "--scenario", description = "ordinary, deploy, restarts, rack, zone, regions, change, or all")
+    @Parameter(
+            names = "--scenario",
+            description = "events after the warm-up: ordinary, deploy, restarts, rack, zone, regions, change, or all")
     private String scenario = "ordinary";
 
-    @Parameter(names = "--small", description = "one service of so many upstreams that all call; 0: many services")
+    @Parameter(
+            names = "--small",
+            description = "number of upstreams of a single service that all sidecars call; 0 for many services")
     private int upstreamsOfOneService = 0;
 
-    @Parameter(names = "--calls", description = "services that each calls, with decisions of its own for each")
+    @Parameter(
+            names = "--calls",
+            description = "number of services that each sidecar calls, with a load balancer for each; 1 to 50")
     private int servicesCalled = 1;
 
-    @Parameter(names = "--rate", description = "requests a second of each sidecar")
+    @Parameter(
+            names = "--rate",
+            description = "requests per second of each sidecar, over all services that it calls; at most 1000")
     private double requestsPerSecond = 20;
 
-    @Parameter(names = "--seed", description = "for all chance")
+    @Parameter(names = "--seed", description = "seed of all random numbers")
     private long seed = 1;
 
-    @Parameter(names = "--slopes", description = "no fleet: what one sidecar's decisions cost by its list")
+    @Parameter(
+            names = "--slopes",
+            description =
+                    "instead of fleets, measure the load balancer of one sidecar for each size of its endpoint list")
     private boolean measuresOneSidecar = false;
 
-    @Parameter(names = "--no-messages", description = "sidecars have no way to talk")
+    @Parameter(names = "--no-messages", description = "run without messages between sidecars")
     private boolean withoutMessages = false;
 
-    @Parameter(names = "--budget", description = "a cost over the budget for control fails, too")
+    @Parameter(names = "--budget", description = "also fail if a cost is over the budget for control")
     private boolean failsOverBudget = false;
 
-    @Parameter(names = "--report", description = "where to write the figures, as JSON")
+    @Parameter(names = "--report", description = "file to which the figures are written as JSON")
     private String reportFile = null;
 
     @Override
--- a/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
@@ -22,7 +22,7 @@
  * rule or ends with an error.
  */
 @Parameters(
-        commandDescription = "shut real sidecars down under drawn disturbances and judge what became of each request")
+        commandDescription = "shut down real sidecars under random disturbances and check the outcome of each request")
 final class ShutdownCommand implements Command {
 
     private static final int INVALID_USAGE = 2;
@@ -30,16 +30,16 @@
     private static final int MAX_ROUNDS = 10_000;
     private static final int MAX_PARALLEL_ROUNDS = 8;
 
-    @Parameter(names = "--seed", description = "of the first round; the next ones count up from it")
+    @Parameter(names = "--seed", description = "seed of the first round; each further round uses the next number")
     private long seed = 1;
 
-    @Parameter(names = "--count", description = "how many rounds")
+    @Parameter(names = "--count", description = "number of rounds, 1 to 10000")
     private int count = 10;
 
-    @Parameter(names = "--at-once", description = "how many rounds run side by side")
+    @Parameter(names = "--at-once", description = "number of rounds that run in parallel, 1 to 8")
     private int parallelRounds = 1;
 
-    @Parameter(names = "--files", description = "where configurations and logs are kept; a temporary folder by default")
+    @Parameter(names = "--files", description = "folder for configurations and logs; a new temporary folder by default")
     private String filesFolder;
 
     @Override
