--- a/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/UpstreamCrossingsTest.java
@@ -50,7 +50,7 @@
 
 /**
  * Races between attempts, connects and idle connections of one upstream, with a manual clock; see docs/crossings.md,
- * "Retries and copies", "Dials" and "Idle connections".
+ * "Retries and hedges", "Connects" and "Idle connections".
  */
 @Timeout(20)
 class UpstreamCrossingsTest {
--- a/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
+++ b/daemon/src/test/java/portrelay/net/WatchCrossingsTest.java
@@ -45,7 +45,7 @@
 
 /**
  * Races between the answers, timeouts and addresses of discovery calls, over sockets and with a manual clock; see
- * docs/crossings.md, "List watches" and "Dials".
+ * docs/crossings.md, "List watches" and "Connects".
  */
 @Timeout(20)
 class WatchCrossingsTest {
