--- a/kit/src/bench/java/portrelay/kit/bench/AdmissionBench.java
+++ b/kit/src/bench/java/portrelay/kit/bench/AdmissionBench.java
@@ -74,7 +74,7 @@
                         512,
                         0.25,
                         10,
-                        ConnectionCapacityConfig.USUAL),
+                        ConnectionCapacityConfig.DEFAULTS),
                 2,
                 1,
                 this);
