--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# portrelay: the usual tasks. Java 17 and Maven are all they need.
+# portrelay: common development tasks. They need only Java 17 and Maven.
 
 .PHONY: build test format lint run toy regression soak
 
@@ -8,27 +8,30 @@
 test:
 	mvn -B verify
 
-# Formats all Java code as the build wants it; `mvn verify` fails on a file that is not, and names it.
+# Formats all Java code as the build requires; `mvn verify` fails on files that are not formatted and names them.
 format:
 	mvn -q -B spotless:apply
 
-# Format, the compiler's warnings and Error Prone's, which count as errors in every build.
+# Checks the format and compiles with Error Prone; warnings are errors, as in every build.
 lint:
 	mvn -q -B clean test-compile
 
-# One sidecar with the example's configuration; start the toy first, in another shell.
+# Runs one sidecar with the example configuration; run `make toy` in another shell first.
 run: build
 	java -jar daemon/target/portrelay.jar serve --config examples/config.json
 
+# Runs the demo upstreams and discovery service of the example configuration.
 toy:
 	java examples/ToyServer.java
 
-# The operators' days, quick, panel by panel, on their bench, which is no part of this repository: some minutes each, with
-# the machine to itself. PANEL=name plays one of growth, sockets, operations, standing; KIT says where the bench lies.
+# Runs the operators' simulated days in quick mode, panel by panel, on their bench, which is not part of this
+# repository. Each panel takes some minutes and needs an otherwise idle machine. PANEL=name runs one of growth, sockets,
+# operations, standing; KIT is the folder of the bench.
 regression:
 	@sh kit/regression.sh $(PANEL)
 
-# Real sidecars told to end under drawn disturbances, and a judge of each request: about five seconds a round.
+# Shuts real sidecars down under random disturbances and checks the outcome of each request; a round takes about five
+# seconds.
 SEED = 1
 COUNT = 50
 soak: build
--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Starts one sidecar with as much heap as its memory limit leaves room for, by the shell's builtins alone: where
-# sidecars run in step, a fork is refused, and a `$(...)` or a pipe is one. What the JVM takes besides the heap was
-# measured at 40 to 45 MB (class data, code, direct buffers, stacks), docs/design.md, "Running".
+# Starts one sidecar with the heap that its memory limit leaves room for. Uses shell builtins only: an environment that
+# runs sidecars in lockstep refuses forks, and `$(...)` and pipes fork. Besides the heap, the JVM was measured to take
+# 40 to 45 MB (class data, code, direct buffers, stacks); see docs/design.md, "Running".
 set -eu
 case $0 in */*) cd "${0%/*}/.." ;; *) cd .. ;; esac
 
-# The number after "memory_mb", wherever the file breaks its lines; nothing where there is none. The text is cut at
-# its braces and commas first: the shell's patterns take 10 s to find a word at the end of 60 KB in one piece.
+# Sets memory to the number after "memory_mb", wherever the file has line breaks, or to nothing if there is none. The
+# text is first split at braces and commas, because a shell pattern takes 10 s to find a word at the end of 60 KB.
 memory=
 if [ -f "${LB_CONFIG:-}" ] && [ -r "$LB_CONFIG" ]; then
     cut='{},'
@@ -26,7 +26,7 @@
         done
     done < "$LB_CONFIG"
 fi
-memory=${memory#"${memory%%[!0]*}"}    # 08 would be taken for octal, and end the start
+memory=${memory#"${memory%%[!0]*}"}    # strips leading zeros: 08 is an invalid octal number and would abort the start
 case $memory in '') memory=160 ;; ???????*) memory=999999 ;; esac
 
 heap=$((memory - 60))
--- a/examples/ToyServer.java
+++ b/examples/ToyServer.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.Executors;
 
 /**
- * A toy to try portrelay with: three upstreams at 127.0.0.1:9001 to 9003 and a discovery that lists them, at
- * 127.0.0.1:8500. Each upstream says which one it is; the third is slow, so that copies can be seen to win.
+ * A demo environment for portrelay: three upstreams at 127.0.0.1:9001 to 9003, and a discovery service at 127.0.0.1:8500
+ * that lists them. Each upstream answers with its name; the third is slow, so that hedged requests can be seen to win.
  *
- * <p>java examples/ToyServer.java
+ * <p>Start it with {@code java examples/ToyServer.java}.
  */
 public class ToyServer {
 
@@ -36,7 +36,7 @@
         serve(8500, exchange -> {
             String query = exchange.getRequestURI().getQuery();
             if (query != null && query.contains("index=2")) {
-                // Nothing ever changes here: a watch ends when its time is over.
+                // The list never changes, so a watch is answered only when its wait time is over.
                 sleep(Long.parseLong(query.replaceAll(".*wait=(\\d+).*", "$1")));
                 answer(exchange, "{\"seq\":2,\"whole\":false,\"hosts\":[]}");
             } else {
--- a/kit/src/main/java/portrelay/fleet/EventQueue.java
+++ b/kit/src/main/java/portrelay/fleet/EventQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** The events of a simulation in virtual time; events of one time run in the order in which they were scheduled. */
+/** The events of a simulation in virtual time; events at the same time run in the order of their scheduling. */
 final class EventQueue {
 
     private record Event(double time, long order, Runnable action) implements Comparable<Event> {
@@ -20,17 +20,17 @@
         return now;
     }
 
-    /** At that time; at once where it has passed. */
+    /** Schedules an action for the given time, or for the current time if that has passed. */
     void scheduleAt(double time, Runnable action) {
         events.add(new Event(Math.max(time, now), nextOrder++, action));
     }
 
-    /** So many seconds from now. */
+    /** Schedules an action after a delay in seconds. */
     void schedule(double delay, Runnable action) {
         scheduleAt(now + delay, action);
     }
 
-    /** Runs all events up to that time, those that they schedule included. */
+    /** Runs all events up to and including the given time, also those that are scheduled meanwhile. */
     void runUntil(double end) {
         while (!events.isEmpty() && events.peek().time <= end) {
             Event event = events.poll();
--- a/kit/src/main/java/portrelay/fleet/FleetCounters.java
+++ b/kit/src/main/java/portrelay/fleet/FleetCounters.java
@@ -3,31 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts of one run over the whole fleet, and the first violations of the rules in words. */
+/** The counters of one run over the whole fleet, and descriptions of the first violations of the rules. */
 final class FleetCounters {
 
     private static final int MAX_DESCRIBED_VIOLATIONS = 5;
 
     long requests;
     long served;
-    /** Served within the latency objective. */
+    /** Requests served within the latency objective. */
     long servedInTime;
 
     long rejected;
     long failed;
     long attempts;
     long discoveryPolls;
-    /** Processor time of the decisions on requests and attempts. */
+    /** Time spent on decisions about requests and attempts. */
     long requestNanos;
-    /** Processor time of the decisions on endpoint lists, messages and timers. */
+    /** Time spent on decisions about endpoint lists, messages and timers. */
     long controlNanos;
 
     long controlCalls;
-    /** Requests without an answer by their deadline. */
+    /** Requests without an answer by their deadline and the protocol's tolerance. */
     long unanswered;
-    /** Unsafe requests that were sent again where they may have been executed. */
+    /** Attempts of unsafe requests that may already have been executed by an earlier attempt. */
     long duplicates;
-    /** Attempts at upstreams that had been draining for longer than the grace. */
+    /** Attempts at upstreams that were known to be draining for longer than the drain grace. */
     long drainViolations;
 
     final List<String> violations = new ArrayList<>();
--- a/kit/src/main/java/portrelay/fleet/FleetRun.java
+++ b/kit/src/main/java/portrelay/fleet/FleetRun.java
@@ -9,18 +9,19 @@
 import java.util.function.ToLongFunction;
 
 /**
- * One scenario at one size, played for ten seconds of virtual time: its figures, and which rules and budgets it broke.
+ * One scenario at one fleet size, run for ten seconds of virtual time: its figures, and the rules and budgets that it
+ * broke.
  */
 public final class FleetRun {
 
-    /** The operators' budget for what control costs one sidecar, in bytes a second. */
+    /** The operators' budget for the control traffic of one sidecar, in bytes per second for each direction. */
     public static final double MAX_CONTROL_BYTES_PER_SECOND = 8192;
 
-    /** The same, as a share of one core. */
+    /** The operators' budget for the control decisions of one sidecar, as a share of one core. */
     public static final double MAX_CONTROL_CORE_SHARE = 0.025;
 
     private static final int ZONES = 12;
-    /** Before the scenario begins, and not measured. */
+    /** Virtual time before the scenario begins, which is not measured. */
     private static final double WARM_UP_SECONDS = 3;
 
     private static final double MEASURED_SECONDS = 7;
@@ -37,7 +38,10 @@
         this.fleet = fleet;
     }
 
-    /** Plays it; the same seed gives the same counts, while times and memory are this machine's. */
+    /**
+     * Runs a scenario. The same seed gives the same counts; processor times and memory are measured and differ from run
+     * to run.
+     */
     public static FleetRun play(Scenario scenario, long seed, FleetSize size) {
         long memoryBefore = usedMemory();
         long startedAt = System.nanoTime();
@@ -46,14 +50,14 @@
         long memory = usedMemory() - memoryBefore;
         Snapshot warm = new Snapshot(run.fleet);
         scenario.begin(run.fleet);
-        // What is still in flight at the end is not counted: it ends with its deadline.
+        // Requests still open at the end count neither as served nor as unanswered: their deadlines are yet to come.
         run.fleet.events.runUntil(WARM_UP_SECONDS + MEASURED_SECONDS);
         double seconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
         run.evaluate(scenario, size, warm, memory, seconds);
         return run;
     }
 
-    /** The counters at the end of the warm-up. */
+    /** The values of the counters at the end of the warm-up. */
     private static final class Snapshot {
         private final long requests;
         private final long requestNanos;
@@ -76,7 +80,10 @@
         return fleet.sidecars.stream().mapToLong(counter).toArray();
     }
 
-    /** What each sidecar's counter grew by in a second since the warm-up, its decisions for all services together. */
+    /**
+     * Returns the growth per second of a counter since the warm-up, for each sidecar process; the counters of its load
+     * balancers for all services are added up.
+     */
     private double[] perSecond(FleetSize size, long[] before, ToLongFunction<SimulatedSidecar> counter) {
         double[] rates = new double[size.sidecars()];
         for (int i = 0; i < fleet.sidecars.size(); i++) {
@@ -193,17 +200,19 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** By name, in an order for reading; numbers, booleans, texts and lists of texts. */
+    /**
+     * Returns the figures by name, in display order; the values are numbers, booleans, strings and lists of strings.
+     */
     public Map<String, Object> figures() {
         return figures;
     }
 
-    /** The rules that did not hold; empty where all did. */
+    /** Returns descriptions of the rules that were broken; empty if none was. */
     public List<String> brokenRules() {
         return brokenRules;
     }
 
-    /** What costs more than the operators' budget for control; empty where nothing does. */
+    /** Returns descriptions of the costs over the operators' budgets for control; empty if there are none. */
     public List<String> brokenBudgets() {
         return brokenBudgets;
     }
--- a/kit/src/main/java/portrelay/fleet/PowerLawFit.java
+++ b/kit/src/main/java/portrelay/fleet/PowerLawFit.java
@@ -1,29 +1,34 @@
 package portrelay.fleet;
 
 /**
- * How a cost grows with size: cost = factor x size ^ exponent, by least squares on the logarithms.
+ * The growth of a cost with size, as the power law cost = factor * size ^ exponent; fitted by least squares on the
+ * logarithms.
  *
- * @param residual the largest part by which a measured cost is off that line
+ * @param factor the cost at size 1
+ * @param exponent the exponent of the size
+ * @param residual the largest relative deviation of a measured cost from the fitted one
  */
 public record PowerLawFit(double factor, double exponent, double residual) {
 
     private static final int MIN_SIZES = 3;
 
     /**
-     * Fits sizes and costs, as many of each, all above 0.
+     * Fits a power law to the costs at the given sizes; the arrays have equal lengths and positive values.
      *
-     * @throws IllegalArgumentException where there are fewer than three, or one is not above 0
+     * @throws IllegalArgumentException if there are fewer than three sizes, if the lengths differ, or if a value is not
+     *     above 0
      */
     public static PowerLawFit of(double[] sizes, double[] costs) {
         int count = sizes.length;
         if (count < MIN_SIZES || costs.length != count) {
-            throw new IllegalArgumentException("three sizes at least, and a cost for each");
+            throw new IllegalArgumentException("expected at least three sizes, and one cost for each");
         }
         double meanLogSize = 0;
         double meanLogCost = 0;
         for (int i = 0; i < count; i++) {
             if (!(sizes[i] > 0) || !(costs[i] > 0)) {
-                throw new IllegalArgumentException("not above 0: size " + sizes[i] + ", cost " + costs[i]);
+                throw new IllegalArgumentException(
+                        "sizes and costs must be above 0: size " + sizes[i] + ", cost " + costs[i]);
             }
             meanLogSize += Math.log(sizes[i]) / count;
             meanLogCost += Math.log(costs[i]) / count;
@@ -43,7 +48,7 @@
         return new PowerLawFit(factor, exponent, residual);
     }
 
-    /** The cost at another size; extrapolated where that is beyond what was measured. */
+    /** Returns the fitted cost at the given size, which may lie outside the measured range. */
     public double at(double size) {
         return factor * Math.pow(size, exponent);
     }
--- a/kit/src/main/java/portrelay/fleet/RetryAmplification.java
+++ b/kit/src/main/java/portrelay/fleet/RetryAmplification.java
@@ -3,8 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Calls through several levels, each behind a sidecar that retries: how many attempts reach the lowest level for one
- * request at the top, where a share of the attempts there fails at random.
+ * Retry amplification along a call chain: computes or simulates the number of attempts that reach the lowest of several
+ * levels for one request at the top, if the sidecar at each level retries and a share of the attempts at the lowest
+ * level fails at random.
  */
 public final class RetryAmplification {
 
@@ -23,10 +24,13 @@
     }
 
     /**
-     * The mean attempts at each level for one request at the top, the lowest level last, by simulation.
+     * Simulates requests and returns the mean number of attempts at each level for one request at the top; the lowest
+     * level comes last.
      *
-     * @param maxAttempts of one request at one level
-     * @param failingShare of the attempts at the lowest level, from 0 to 1
+     * @param levels the number of levels
+     * @param maxAttempts the maximum number of attempts for one request at one level
+     * @param failingShare the share of attempts that fail at the lowest level, from 0 to 1
+     * @param requests the number of requests at the top
      */
     public static double[] simulated(long seed, int levels, int maxAttempts, double failingShare, int requests) {
         RetryAmplification calls = new RetryAmplification(seed, levels, maxAttempts, failingShare);
@@ -50,7 +54,10 @@
         return false;
     }
 
-    /** The mean at the lowest level, computed: at each level 1 + f + f^2 ... attempts, f being what fails below it. */
+    /**
+     * Computes the mean number of attempts at the lowest level for one request at the top. Each level makes 1 + f + f^2
+     * + ... attempts, where f is the share of them that fail.
+     */
     public static double expected(int levels, int maxAttempts, double failingShare) {
         double attempts = 1;
         double failing = failingShare;
--- a/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
+++ b/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
@@ -25,8 +25,9 @@
 import portrelay.policy.LoadBalancer;
 
 /**
- * What one sidecar's real decisions cost by the length of its endpoint list: the first list, a changed row, a request,
- * a received message, and memory. Medians of several measurements after a warm-up.
+ * Measures the cost of one sidecar's production load balancer as a function of the length of its endpoint list: the
+ * time for the first list, a changed row, a request and a received message, and the memory. Times are medians of
+ * several measurements after a warm-up; memory is the maximum.
  */
 public final class ScalingBenchmark {
 
@@ -52,7 +53,7 @@
 
     private ScalingBenchmark() {}
 
-    /** Microseconds and bytes of one measurement. */
+    /** The results of one measurement: times in microseconds, and bytes of memory. */
     private record Costs(
             double firstListMicros,
             double changedRowMicros,
@@ -61,12 +62,12 @@
             double memoryBytes) {}
 
     /**
-     * Measures one sidecar's decisions.
+     * Measures the load balancer of one sidecar.
      *
-     * @param upstreams in its endpoint list
-     * @param sidecars that call the same service
-     * @param hasMessages whether they can send each other messages
-     * @return the figures by name: microseconds, and bytes of memory
+     * @param upstreams the number of upstreams in its endpoint list
+     * @param sidecars the number of sidecars that call the same service
+     * @param hasMessages whether these sidecars can send each other messages
+     * @return the figures by name: times in microseconds, and bytes of memory
      */
     public static Map<String, Object> measure(int upstreams, int sidecars, boolean hasMessages) {
         List<Endpoint> endpoints = new ArrayList<>();
@@ -88,14 +89,14 @@
         figures.put("changed_row_us", median(costs, Costs::changedRowMicros));
         figures.put("request_us", median(costs, Costs::requestMicros));
         figures.put("word_us", median(costs, Costs::messageMicros));
-        // The most: the collector may not have freed what the measurement before left.
+        // The maximum: garbage of the previous measurement that is freed only during this one lowers its figure.
         figures.put(
                 "memory_bytes",
                 costs.stream().mapToDouble(Costs::memoryBytes).max().orElse(0));
         return figures;
     }
 
-    /** In a frame of its own, so that nothing of one measurement is reachable in the next. */
+    /** Measures once, in a stack frame of its own, so that no object of one measurement is reachable in the next. */
     private static Costs measureOnce(List<Endpoint> endpoints, int seed, int sidecars, boolean hasMessages) {
         LastActions actions = new LastActions();
         long memoryBefore = usedMemory();
@@ -179,7 +180,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Remembers the last attempt and message, and does nothing. */
+    /** Records the last attempt and the last message, and performs no action. */
     private static final class LastActions implements LoadBalancerActions {
         private UpstreamId lastUpstream;
         private String lastMessage;
@@ -206,12 +207,12 @@
 
         @Override
         public void wakeUpAt(double time) {
-            // Time passes between the requests only.
+            // Ignored: the benchmark's clock advances only in serveRequest.
         }
 
         @Override
         public void pollDiscovery() {
-            // The benchmark gives the lists.
+            // Ignored: the benchmark delivers the endpoint lists itself.
         }
 
         @Override
@@ -236,7 +237,7 @@
 
         @Override
         public void log(String text) {
-            // Not needed here.
+            // Ignored.
         }
     }
 }
--- a/kit/src/main/java/portrelay/fleet/Scenario.java
+++ b/kit/src/main/java/portrelay/fleet/Scenario.java
@@ -3,29 +3,32 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What happens to a simulated fleet once it is warm. */
+/** The events that a simulated fleet goes through after its warm-up. */
 public enum Scenario {
 
-    /** Nothing. */
+    /** No event: only ordinary traffic. */
     ORDINARY(fleet -> {}),
 
-    /** Each upstream of the largest service drains and a cold one takes its place, one after the other. */
+    /** A rolling deployment: one by one, each upstream of the largest service drains and a cold one replaces it. */
     DEPLOY(Scenario::deploy),
 
-    /** One in ten sidecars restarts within a second. */
+    /** One in ten sidecars restarts, each at a random time within one second. */
     RESTARTS(fleet -> fleet.sidecars.forEach(each -> {
         if (each.process % 10 == 0) {
             fleet.events.schedule(fleet.random().nextDouble(), each::start);
         }
     })),
 
-    /** One upstream in forty vanishes; the endpoint list shows it 3 s later. */
+    /** One upstream in forty stops answering for good; the endpoint list shows it as gone 3 s later. */
     RACK(fleet -> lose(fleet, 40, 3, Double.NaN)),
 
-    /** One upstream in twelve falls silent; the endpoint list shows it after 3 s, and it is back, cold, after 5 s. */
+    /**
+     * One upstream in twelve stops answering; the endpoint list shows it as gone after 3 s, and it is back, cold, after
+     * 5 s.
+     */
     ZONE(fleet -> lose(fleet, 12, 3, 5)),
 
-    /** Three regions are partitioned for 5 s: for requests, messages and endpoint lists. */
+    /** Three regions are partitioned from each other for 5 s: requests, messages and endpoint lists are affected. */
     REGIONS(fleet -> {
         fleet.setRegionsPartitioned(true);
         fleet.events.schedule(1, fleet::announceChangeOfAll);
@@ -35,13 +38,13 @@
         });
     }),
 
-    /** Every sidecar gets its complete endpoint list anew. */
+    /** Every sidecar receives its complete endpoint list again. */
     CHANGE(SimulatedFleet::announceChangeOfAll);
 
     private static final double DEPLOY_SECONDS = 4;
     private static final double DRAIN_SECONDS = 1.5;
 
-    /** A function without state. */
+    // The functions have no state.
     @SuppressWarnings("ImmutableEnumChecker")
     private final Consumer<SimulatedFleet> action;
 
@@ -69,7 +72,13 @@
         }
     }
 
-    /** One upstream in so many falls silent, all of one zone, as machines that share a switch do. */
+    /**
+     * Makes a share of the upstreams silent, all of them in one zone, as happens to machines that share a switch.
+     *
+     * @param oneIn the share is 1 / {@code oneIn}, at least one upstream
+     * @param updateDelay seconds until the endpoint list shows them as gone
+     * @param returnDelay seconds until they are back, cold; NaN for never
+     */
     private static void lose(SimulatedFleet fleet, int oneIn, double updateDelay, double returnDelay) {
         List<SimulatedUpstream> lost = fleet.upstreams.stream()
                 .filter(each -> each.zone == 0)
--- a/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
@@ -20,17 +20,19 @@
 import portrelay.policy.LoadBalancer;
 
 /**
- * Sidecars and upstreams in virtual time, with the discovery and the network between them: the real decisions of each
- * sidecar for each service that it calls. All random numbers come from one seed; the processor's clock is read only for
- * what the decisions cost.
+ * Sidecars and upstreams in virtual time, with the discovery service and the network between them. Each sidecar runs
+ * the production load balancer for each service that it calls. All random numbers come from one seed; the system clock
+ * is read only to measure the cost of decisions.
  */
 final class SimulatedFleet {
 
-    /** IPv4 and UDP. */
+    /** Bytes of the IPv4 and UDP headers. */
     static final int DATAGRAM_HEADER_BYTES = 28;
 
     static final double NETWORK_SECONDS = 0.0005;
-    /** The settings' grace and the protocol's tolerance, after which no attempt may go to a draining upstream. */
+    /**
+     * The drain grace of the settings plus the protocol's tolerance; no attempt may go to a draining upstream later.
+     */
     static final double DRAIN_GRACE_SECONDS = 0.55;
 
     static final SlowStartRule SLOW_START = new SlowStartRule(0.3, 8, 4, 3);
@@ -38,7 +40,7 @@
     private static final int REGIONS = 3;
     private static final double LATENCY_OBJECTIVE_SECONDS = 0.4;
     private static final double DEADLINE_SECONDS = 2;
-    /** What a mean request takes on one core. */
+    /** The mean processing time of a request on one core. */
     private static final double WORK_SECONDS = 0.05;
 
     private static final double UTILIZATION = 0.5;
@@ -51,7 +53,7 @@
             requestClass(0, RequestClass.Idempotency.SAFE, RequestClass.DeduplicationScope.ALL),
             requestClass(1, RequestClass.Idempotency.KEYED, RequestClass.DeduplicationScope.CELL),
             requestClass(2, RequestClass.Idempotency.UNSAFE, RequestClass.DeduplicationScope.ALL));
-    /** The classes of ten requests, as the operators' deployments have them. */
+    /** The class indexes of ten requests, in the proportions of the operators' deployments. */
     private static final int[] CLASS_MIX = {0, 0, 0, 0, 0, 0, 1, 1, 2, 2};
 
     final EventQueue events = new EventQueue();
@@ -90,7 +92,7 @@
                 sidecars.add(sidecar);
             }
         }
-        // Only now: the settings say how many sidecars call a service.
+        // Sidecars start once all exist, because their settings include the number of sidecars that call a service.
         sidecars.forEach(SimulatedSidecar::start);
         sidecars.forEach(this::scheduleNextRequest);
     }
@@ -109,7 +111,10 @@
                 false);
     }
 
-    /** Few large services and many small ones, none without an upstream: sizes go with 1 / root of the rank. */
+    /**
+     * Returns the number of upstreams of each service, at least 1: few large services and many small ones, with sizes
+     * proportional to 1 / sqrt(rank).
+     */
     private static int[] serviceSizes(int upstreams, int services) {
         int[] sizes = new int[services];
         Arrays.fill(sizes, 1);
@@ -126,7 +131,9 @@
         return sizes;
     }
 
-    /** The services that one sidecar calls: drawn by their sizes, none twice. */
+    /**
+     * Draws the services that one sidecar calls, without repetition, with probabilities proportional to their sizes.
+     */
     private List<Integer> drawServices(int[] serviceSizes) {
         List<Integer> services = new ArrayList<>();
         while (services.size() < Math.min(size.servicesCalled(), serviceSizes.length)) {
@@ -189,12 +196,12 @@
         return List.copyOf(upstreamsByService.get(service));
     }
 
-    /** The work of one request, as a multiple of the mean. */
+    /** Draws the work of one request, as a multiple of the mean, from an exponential distribution. */
     double drawWork() {
         return -Math.log(1 - random.nextDouble());
     }
 
-    /** Seeded by the run's seed. */
+    /** Returns the random number generator of the run, which is initialized with the run's seed. */
     SplittableRandom random() {
         return random;
     }
@@ -211,7 +218,10 @@
 
     // ---- Discovery --------------------------------------------------------------------------------------
 
-    /** Gives the sidecar its service's complete list now, without those that its region can't reach. */
+    /**
+     * Sends a sidecar the complete endpoint list of its service at once, without the upstreams that its region can't
+     * reach.
+     */
     void sendEndpoints(SimulatedSidecar to) {
         List<Endpoint> endpoints = upstreamsByService.get(to.service).stream()
                 .filter(each -> !each.isGone && !isPartitioned(to.region, each.zone))
@@ -220,7 +230,7 @@
         to.endpointsUpdated(endpoints, EndpointUpdate.COMPLETE);
     }
 
-    /** Gives each caller of the service the complete list, after a delay of its own. */
+    /** Sends each caller of the service the complete endpoint list, each after a random delay of its own. */
     void announceChange(int service) {
         callersByService
                 .get(service)
--- a/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
@@ -16,12 +16,13 @@
 import portrelay.policy.LoadBalancer;
 
 /**
- * One process's decisions for one service that it calls, with a simulated network around them. Counts what it sends,
- * and checks each request against the rules, by a bookkeeping of its own.
+ * The load balancer of one sidecar process for one service that it calls, connected to a simulated network. Counts the
+ * messages it sends and receives, and checks each request against the rules, independently of the load balancer's own
+ * state.
  */
 final class SimulatedSidecar implements LoadBalancerActions {
 
-    /** The answer may come so much after the protocol's deadline. */
+    /** Seconds after the deadline within which the protocol still allows an answer. */
     private static final double ANSWER_TOLERANCE_SECONDS = 0.5;
 
     private static final class Attempt {
@@ -33,7 +34,7 @@
         private final RequestClass requestClass;
         private final double arrivedAt;
         private final double deadline;
-        /** Of the process that took it. */
+        /** The incarnation of the sidecar that accepted the request. */
         private final int incarnation;
 
         private final List<Attempt> attempts = new ArrayList<>(2);
@@ -56,11 +57,11 @@
     private final SimulatedFleet fleet;
     private final Map<RequestId, Request> openRequests = new HashMap<>();
     private final Map<UpstreamId, Double> drainKnownSince = new HashMap<>();
-    /** The process that it belongs to. */
+    /** The index of the process to which this load balancer belongs. */
     final int process;
 
     final int service;
-    /** Its index among the sidecars that call this service. */
+    /** The index among the sidecars that call this service. */
     final int index;
 
     final int region;
@@ -79,7 +80,7 @@
         this.region = region;
     }
 
-    /** Starts a new process; the requests of the one before are forgotten, as their clients retry them. */
+    /** Starts a new incarnation; open requests of the previous one are dropped, as their clients retry them. */
     void start() {
         incarnation++;
         openRequests.clear();
@@ -109,7 +110,7 @@
         timeControl(() -> loadBalancer.peerMessageReceived(now(), from, text));
     }
 
-    /** A client's request arrives; the deadline counts from now. */
+    /** Accepts a request of a client. The time to the deadline counts from now. */
     void request(RequestClass requestClass, double secondsToDeadline) {
         RequestId id = new RequestId(process + "-" + service + "-" + fleet.counters.requests++);
         Request request = new Request(id, requestClass, now(), now() + secondsToDeadline, incarnation);
@@ -165,7 +166,7 @@
         request.isAnswered = !ignoresAnswers;
     }
 
-    /** For tests of the bookkeeping: from here on no answer is recorded. */
+    /** Stops recording answers from now on, so that tests can provoke an unanswered request. */
     void ignoreAnswers() {
         ignoresAnswers = true;
     }
@@ -267,7 +268,7 @@
 
     @Override
     public void probeLoad(UpstreamId upstream) {
-        throw new UnsupportedOperationException("sockets have no probes");
+        throw new UnsupportedOperationException("load probes are not simulated");
     }
 
     @Override
@@ -286,11 +287,11 @@
 
     @Override
     public void closeIdleConnections(UpstreamId upstream) {
-        throw new UnsupportedOperationException("sockets do not offer this");
+        throw new UnsupportedOperationException("closing idle connections is not simulated");
     }
 
     @Override
     public void log(String text) {
-        // Not needed here.
+        // Ignored.
     }
 }
--- a/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
@@ -8,14 +8,17 @@
 import portrelay.model.UpstreamId;
 import portrelay.model.ZoneId;
 
-/** One upstream: cores with a queue before them, less of them while it is cold, and whether it was overloaded then. */
+/**
+ * A simulated upstream: cores with one queue each, whose capacity is reduced while the upstream warms up. Records by
+ * how much attempts exceeded the limit for an upstream that is warming up.
+ */
 final class SimulatedUpstream {
 
-    /** Spreads the ids over 64 bits, as hashes of names are. */
+    /** Spreads consecutive numbers over 64 bits, as ids are hashes of names in production. */
     static final long ID_FACTOR = 0x9E3779B97F4A7C15L;
 
     private static final int CELLS = 7;
-    /** Arrivals that are remembered at most; more can't come within the rule's window. */
+    /** The number of arrivals kept; no more than that can occur within the overload window of the rule. */
     private static final int MAX_RECENT_ARRIVALS = 1 << 12;
 
     final UpstreamId id;
@@ -23,20 +26,23 @@
     final int zone;
     private final SlowStartRule slowStart;
     private final double workSeconds;
-    /** When each core has worked off its queue. */
+    /** The time at which each core will have processed its queue. */
     private final double[] coreFreeAt;
 
     private final double[] recentArrivals = new double[MAX_RECENT_ARRIVALS];
     private int arrivals;
     private int firstRecentArrival;
-    /** Takes attempts and answers none. */
+    /** Whether it accepts attempts but answers none. */
     boolean isSilent;
 
     boolean isGone;
     boolean isDraining;
-    /** 0 for one that was there before the simulation. */
+    /** The start time; 0 for an upstream that was running before the simulation. */
     double startedAt;
-    /** By how many attempts the most within the rule's window was over what it bears; not above 0 where it held. */
+    /**
+     * The largest number of attempts within an overload window, minus the limit; above 0 only if the limit was
+     * exceeded.
+     */
     double slowStartExcess = Double.NEGATIVE_INFINITY;
 
     SimulatedUpstream(int number, int service, int zone, int cores, double workSeconds, SlowStartRule slowStart) {
@@ -66,9 +72,9 @@
     }
 
     /**
-     * Takes an attempt and returns when it will be done, infinity where it never answers.
+     * Accepts an attempt and returns the time at which it will be complete; infinity if it is never answered.
      *
-     * @param work as a multiple of the mean
+     * @param work the work of the attempt, as a multiple of the mean
      */
     double accept(double now, double work) {
         if (startedAt > 0 && now < startedAt + slowStart.warmUpTime()) {
@@ -86,7 +92,10 @@
         return coreFreeAt[core];
     }
 
-    /** The bound is N + 2 x root N + 2 within the rule's window, N being what its cores bear in the middle of it. */
+    /**
+     * Updates {@link #slowStartExcess}. The limit is N + 2 * sqrt(N) + 2 attempts within the overload window, where N
+     * is the number that the cores may receive at the capacity of the middle of the window.
+     */
     private void checkSlowStartBound(double now) {
         recentArrivals[arrivals++ % recentArrivals.length] = now;
         while (recentArrivals[firstRecentArrival % recentArrivals.length] < now - slowStart.overloadWindow()) {
--- a/kit/src/main/java/portrelay/fleet/package-info.java
+++ b/kit/src/main/java/portrelay/fleet/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Simulated fleets: the real decisions of many sidecars in one process and in virtual time, with a network and
- * upstreams of a few figures around them, to find what the fleet's size costs and whether the rules hold.
+ * Simulated fleets: the production load balancers of many sidecars run in one process and in virtual time, against
+ * simple models of the network and the upstreams. They show how costs grow with the size of the fleet and whether the
+ * rules of load balancing hold.
  *
- * <p>May know {@code portrelay.policy} and {@code portrelay.model}. Runs on one thread. Times are seconds as double, on
- * the simulation's clock, which begins at 0.
+ * <p>May depend on {@code portrelay.policy} and {@code portrelay.model}. Runs on one thread. Times are seconds as
+ * double, on the simulation's clock, which begins at 0.
  */
 package portrelay.fleet;
--- a/kit/src/main/java/portrelay/kit/cli/KitMain.java
+++ b/kit/src/main/java/portrelay/kit/cli/KitMain.java
@@ -4,11 +4,12 @@
 import portrelay.cli.Command;
 import portrelay.cli.Main;
 
-/** Every command of the daemon, and beside them those of the kit. */
+/** The main class of the kit's jar: runs the commands of the daemon and those of the kit. */
 public final class KitMain {
 
     private KitMain() {}
 
+    /** Runs a command and exits with its exit code. */
     public static void main(String[] args) {
         Map<String, Command> commands =
                 Map.of("ready", new ReadyCommand(), "scale", new ScaleCommand(), "shutdown", new ShutdownCommand());
--- a/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
@@ -13,6 +13,10 @@
 import portrelay.standin.Discovery;
 import portrelay.standin.Sidecars;
 
+/**
+ * The command "ready": starts several sidecars at once while discovery refuses most calls, and measures the time until
+ * each is ready. Exits with 0 if nine in ten are ready in time.
+ */
 @Parameters(commandDescription = "time real sidecars that start at once before a discovery that refuses")
 final class ReadyCommand implements Command {
 
@@ -20,7 +24,7 @@
     private static final int FAILED = 1;
     private static final int MAX_PROCESSES = 200;
     private static final int MAX_UPSTREAMS = 10_000;
-    /** Of the calls to discovery, while it refuses. */
+    /** The share of calls that discovery refuses at the beginning. */
     private static final double REFUSED_SHARE = 0.9;
 
     private static final long POLL_MILLIS = 20;
@@ -64,7 +68,7 @@
         }
     }
 
-    /** Null where all are valid. */
+    /** Returns a message about the first invalid option; null if all are valid. */
     private String invalidOption() {
         if (processes < 1 || processes > MAX_PROCESSES) {
             return "--processes: 1 to 200";
@@ -100,7 +104,7 @@
         return print(readyAfter);
     }
 
-    /** A thread for each process asks it until it is ready. */
+    /** Polls each process on a thread of its own until it is ready. */
     private void awaitAll(Sidecars sidecars, long startedAt, double[] readyAfter) throws InterruptedException {
         List<Thread> watchers = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
@@ -115,7 +119,10 @@
         }
     }
 
-    /** Infinite where it was not ready before the time was over, or ended. */
+    /**
+     * Returns the time from the start until the process was ready; infinity if it ended or did not become ready in
+     * time.
+     */
     private double secondsUntilReady(Sidecars.Instance sidecar, long startedAt) {
         while (secondsSince(startedAt) < giveUpSeconds && sidecar.process().isAlive()) {
             if (Sidecars.isReady(sidecar)) {
--- a/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
@@ -21,6 +21,11 @@
 import portrelay.fleet.Scenario;
 import portrelay.json.JsonTree;
 
+/**
+ * The command "scale": runs simulated fleets of several sizes, prints and reports their figures, and fails if a rule is
+ * broken or, with {@code --budget}, a cost is over its budget. With {@code --slopes}, measures the load balancer of a
+ * single sidecar instead.
+ */
 @Parameters(commandDescription = "play simulated sidecars, many in one process: what the fleet's size costs")
 final class ScaleCommand implements Command {
 
@@ -30,12 +35,12 @@
     private static final int MAX_SIDECARS = 5000;
     private static final int MAX_SERVICES_CALLED = 50;
     private static final double MAX_REQUESTS_PER_SECOND = 1000;
-    /** A power law needs so many sizes. */
+    /** The minimum number of sizes to which a power law can be fitted. */
     private static final int MIN_SIZES_FOR_GROWTH = 3;
-    /** Of the report's form. */
+    /** The version of the report's format. */
     private static final double REPORT_VERSION = 1;
 
-    /** Levels of calls, each of which may retry, as deep as the operators' services call each other. */
+    /** The depth of call chains between the operators' services; each level may retry. */
     private static final int CALL_LEVELS = 7;
 
     private static final int MAX_ATTEMPTS = 4;
@@ -93,7 +98,7 @@
         return scenario.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Null where all are valid. */
+    /** Returns a message about the first invalid option; null if all are valid. */
     private String invalidOption(List<Scenario> scenarios) {
         if (scenarios.isEmpty()) {
             return "--scenario: no " + scenario;
@@ -140,7 +145,10 @@
                 : FleetSize.ofManyServices(size, servicesCalled, requestsPerSecond, !withoutMessages);
     }
 
-    /** The costs of one sidecar's decisions by the length of its list, and how retries multiply over several levels. */
+    /**
+     * Measures one sidecar's load balancer for several lengths of its endpoint list, and prints the retry
+     * amplification.
+     */
     private int measureOneSidecar() {
         List<Object> runs = new ArrayList<>();
         System.out.println("upstreams sidecars  first list us  changed row us  request us  word us" + "  memory bytes");
@@ -173,7 +181,7 @@
         return writeReport(runs) ? 0 : FAILED;
     }
 
-    /** How each figure grows with the number of sidecars, where there are sizes enough and none is 0. */
+    /** Prints how each figure grows with the number of sidecars, if there are enough sizes and no figure is 0. */
     private static void printGrowth(List<Object> runs, String... names) {
         for (String name : names) {
             double[] sizes = new double[runs.size()];
@@ -196,7 +204,7 @@
         }
     }
 
-    /** Whether it could be written, or none was asked for. */
+    /** Writes the report, if one is requested; returns false if that failed. */
     private boolean writeReport(List<Object> runs) {
         if (reportFile == null) {
             return true;
--- a/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
@@ -17,6 +17,10 @@
 import portrelay.faulttest.ShutdownRound;
 import portrelay.faulttest.ShutdownTotals;
 
+/**
+ * The command "shutdown": runs rounds of the shutdown fault test, each with its own seed, and fails if a round breaks a
+ * rule or ends with an error.
+ */
 @Parameters(
         commandDescription = "shut real sidecars down under drawn disturbances and judge what became of each request")
 final class ShutdownCommand implements Command {
@@ -56,7 +60,7 @@
         }
     }
 
-    /** Null where all are valid. */
+    /** Returns a message about the first invalid option; null if all are valid. */
     private String invalidOption() {
         if (count < 1 || count > MAX_ROUNDS) {
             return "--count: 1 to " + MAX_ROUNDS;
@@ -80,7 +84,10 @@
         return print(rounds, folder);
     }
 
-    /** Prints each play of each round as it ends, and the sum. A round that fails to be played ends no other one. */
+    /**
+     * Prints each play of each round, in the order of the seeds, and the totals; returns the exit code. A round that
+     * ends with an error counts as such, and the others go on.
+     */
     private int print(List<Future<List<ShutdownReport>>> rounds, Path folder) throws InterruptedException {
         ShutdownTotals totals = new ShutdownTotals();
         long roundSeed = seed;
--- a/kit/src/test/java/portrelay/fleet/PowerLawFitTest.java
+++ b/kit/src/test/java/portrelay/fleet/PowerLawFitTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests the fit of a power law on exact and inexact costs, and its argument checks. */
 class PowerLawFitTest {
 
     @Test
@@ -24,7 +25,7 @@
 
     @Test
     void theResidualIsTheLargestDeviation() {
-        // The line through these is 2 ^ (1/3) x size; the middle one lies 2 ^ (2/3) above it.
+        // The fit is 2 ^ (1/3) * size; the cost in the middle is 2 ^ (2/3) times the fitted one.
         PowerLawFit fit = PowerLawFit.of(new double[] {1, 2, 4}, new double[] {1, 4, 4});
         assertEquals(1, fit.exponent(), 1e-9);
         assertEquals(Math.cbrt(4) - 1, fit.residual(), 1e-9);
--- a/kit/src/test/java/portrelay/fleet/RetryAmplificationTest.java
+++ b/kit/src/test/java/portrelay/fleet/RetryAmplificationTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests the simulated against the computed amplification, and the case in which every attempt fails. */
 class RetryAmplificationTest {
 
     @Test
