--- a/kit/src/main/java/portrelay/fleet/FleetRun.java
+++ b/kit/src/main/java/portrelay/fleet/FleetRun.java
@@ -48,12 +48,12 @@
         FleetRun run = new FleetRun(new SimulatedFleet(seed, size, ZONES));
         run.fleet.events.runUntil(WARM_UP_SECONDS);
         long memory = usedMemory() - memoryBefore;
-        Snapshot warm = new Snapshot(run.fleet);
+        Snapshot afterWarmUp = new Snapshot(run.fleet);
         scenario.begin(run.fleet);
         // Requests still open at the end count neither as served nor as unanswered: their deadlines are yet to come.
         run.fleet.events.runUntil(WARM_UP_SECONDS + MEASURED_SECONDS);
         double seconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
-        run.evaluate(scenario, size, warm, memory, seconds);
+        run.evaluate(scenario, size, afterWarmUp, memory, seconds);
         return run;
     }
 
@@ -70,13 +70,13 @@
             requests = fleet.counters.requests;
             requestNanos = fleet.counters.requestNanos;
             controlNanos = fleet.counters.controlNanos;
-            datagramsSent = ofEach(fleet, sidecar -> sidecar.datagramsSent);
-            bytesSent = ofEach(fleet, sidecar -> sidecar.bytesSent);
-            bytesReceived = ofEach(fleet, sidecar -> sidecar.bytesReceived);
+            datagramsSent = valuesPerSidecar(fleet, sidecar -> sidecar.datagramsSent);
+            bytesSent = valuesPerSidecar(fleet, sidecar -> sidecar.bytesSent);
+            bytesReceived = valuesPerSidecar(fleet, sidecar -> sidecar.bytesReceived);
         }
     }
 
-    private static long[] ofEach(SimulatedFleet fleet, ToLongFunction<SimulatedSidecar> counter) {
+    private static long[] valuesPerSidecar(SimulatedFleet fleet, ToLongFunction<SimulatedSidecar> counter) {
         return fleet.sidecars.stream().mapToLong(counter).toArray();
     }
 
@@ -87,16 +87,16 @@
     private double[] perSecond(FleetSize size, long[] before, ToLongFunction<SimulatedSidecar> counter) {
         double[] rates = new double[size.sidecars()];
         for (int i = 0; i < fleet.sidecars.size(); i++) {
-            SimulatedSidecar each = fleet.sidecars.get(i);
-            rates[each.process] += (counter.applyAsLong(each) - before[i]) / MEASURED_SECONDS;
+            SimulatedSidecar sidecar = fleet.sidecars.get(i);
+            rates[sidecar.process] += (counter.applyAsLong(sidecar) - before[i]) / MEASURED_SECONDS;
         }
         return rates;
     }
 
-    private void evaluate(Scenario scenario, FleetSize size, Snapshot warm, long memory, double seconds) {
-        double[] datagrams = perSecond(size, warm.datagramsSent, sidecar -> sidecar.datagramsSent);
-        double[] sent = perSecond(size, warm.bytesSent, sidecar -> sidecar.bytesSent);
-        double[] received = perSecond(size, warm.bytesReceived, sidecar -> sidecar.bytesReceived);
+    private void evaluate(Scenario scenario, FleetSize size, Snapshot afterWarmUp, long memory, double seconds) {
+        double[] datagrams = perSecond(size, afterWarmUp.datagramsSent, sidecar -> sidecar.datagramsSent);
+        double[] sent = perSecond(size, afterWarmUp.bytesSent, sidecar -> sidecar.bytesSent);
+        double[] received = perSecond(size, afterWarmUp.bytesReceived, sidecar -> sidecar.bytesReceived);
         double slowStartExcess = fleet.upstreams.stream()
                 .mapToDouble(each -> each.slowStartExcess)
                 .max()
@@ -109,7 +109,7 @@
         figures.put("bytes_s_most", quantile(sent, 1));
         figures.put("heard_bytes_s_mean", mean(received));
         figures.put("heard_bytes_s_most", quantile(received, 1));
-        putCosts(size, warm, memory, seconds);
+        putCosts(size, afterWarmUp, memory, seconds);
         checkRules(slowStartExcess);
         checkBudgets(Math.max(quantile(sent, 1), quantile(received, 1)));
         figures.put("broken", List.copyOf(brokenRules));
@@ -140,46 +140,55 @@
         figures.put("cold_over", slowStartExcess == Double.NEGATIVE_INFINITY ? 0 : slowStartExcess);
     }
 
-    private void putCosts(FleetSize size, Snapshot warm, long memory, double seconds) {
+    private void putCosts(FleetSize size, Snapshot afterWarmUp, long memory, double seconds) {
         FleetCounters counters = fleet.counters;
-        double requests = Math.max(1, (double) (counters.requests - warm.requests));
-        figures.put("request_us", (counters.requestNanos - warm.requestNanos) / NANOS_PER_MICRO / requests);
+        double requests = Math.max(1, (double) (counters.requests - afterWarmUp.requests));
+        figures.put("request_us", (counters.requestNanos - afterWarmUp.requestNanos) / NANOS_PER_MICRO / requests);
         figures.put(
                 "control_core",
-                (counters.controlNanos - warm.controlNanos) / NANOS_PER_SECOND / MEASURED_SECONDS / size.sidecars());
+                (counters.controlNanos - afterWarmUp.controlNanos)
+                        / NANOS_PER_SECOND
+                        / MEASURED_SECONDS
+                        / size.sidecars());
         figures.put("memory_kb", Math.max(0, memory) / 1024.0 / size.sidecars());
         figures.put("virtual_a_second", (WARM_UP_SECONDS + MEASURED_SECONDS) / seconds);
     }
 
     private void checkRules(double slowStartExcess) {
         FleetCounters counters = fleet.counters;
-        check(counters.unanswered == 0, brokenRules, "rule 1: " + counters.unanswered + " requests without an answer");
-        check(counters.duplicates == 0, brokenRules, "rule 2: " + counters.duplicates + " unsafe requests sent twice");
-        check(
+        addIfBroken(
+                counters.unanswered == 0,
+                brokenRules,
+                "rule 1: " + counters.unanswered + " requests without an answer");
+        addIfBroken(
+                counters.duplicates == 0,
+                brokenRules,
+                "rule 2: " + counters.duplicates + " unsafe requests sent twice");
+        addIfBroken(
                 counters.drainViolations == 0,
                 brokenRules,
                 "rule 3: " + counters.drainViolations + " attempts at one that drains");
-        check(
+        addIfBroken(
                 slowStartExcess <= 0,
                 brokenRules,
                 String.format("rule 4: a cold upstream was sent %.1f over its bound", slowStartExcess));
-        check(counters.served >= MIN_SERVED_SHARE * counters.requests, brokenRules, "less than half is served");
+        addIfBroken(counters.served >= MIN_SERVED_SHARE * counters.requests, brokenRules, "less than half is served");
         brokenRules.addAll(counters.violations);
     }
 
     private void checkBudgets(double bytesPerSecond) {
-        check(
+        addIfBroken(
                 bytesPerSecond <= MAX_CONTROL_BYTES_PER_SECOND,
                 brokenBudgets,
                 String.format("messages: %.0f bytes/s of %.0f", bytesPerSecond, MAX_CONTROL_BYTES_PER_SECOND));
         double core = (double) figures.get("control_core");
-        check(
+        addIfBroken(
                 core <= MAX_CONTROL_CORE_SHARE,
                 brokenBudgets,
                 String.format("control: %.4f of a core of %.4f", core, MAX_CONTROL_CORE_SHARE));
     }
 
-    private static void check(boolean holds, List<String> broken, String text) {
+    private static void addIfBroken(boolean holds, List<String> broken, String text) {
         if (!holds) {
             broken.add(text);
         }
--- a/kit/src/main/java/portrelay/fleet/PowerLawFit.java
+++ b/kit/src/main/java/portrelay/fleet/PowerLawFit.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the fitted cost at the given size, which may lie outside the measured range. */
-    public double at(double size) {
+    public double costAt(double size) {
         return factor * Math.pow(size, exponent);
     }
 }
--- a/kit/src/main/java/portrelay/fleet/RetryAmplification.java
+++ b/kit/src/main/java/portrelay/fleet/RetryAmplification.java
@@ -32,22 +32,22 @@
      * @param failingShare the share of attempts that fail at the lowest level, from 0 to 1
      * @param requests the number of requests at the top
      */
-    public static double[] simulated(long seed, int levels, int maxAttempts, double failingShare, int requests) {
-        RetryAmplification calls = new RetryAmplification(seed, levels, maxAttempts, failingShare);
+    public static double[] simulateAttempts(long seed, int levels, int maxAttempts, double failingShare, int requests) {
+        RetryAmplification simulation = new RetryAmplification(seed, levels, maxAttempts, failingShare);
         for (int i = 0; i < requests; i++) {
-            calls.isServed(0);
+            simulation.simulateRequest(0);
         }
         double[] means = new double[levels];
         for (int i = 0; i < levels; i++) {
-            means[i] = calls.attemptsByLevel[i] / (double) requests;
+            means[i] = simulation.attemptsByLevel[i] / (double) requests;
         }
         return means;
     }
 
-    private boolean isServed(int level) {
+    private boolean simulateRequest(int level) {
         for (int i = 0; i < maxAttempts; i++) {
             attemptsByLevel[level]++;
-            if (level == levels - 1 ? random.nextDouble() >= failingShare : isServed(level + 1)) {
+            if (level == levels - 1 ? random.nextDouble() >= failingShare : simulateRequest(level + 1)) {
                 return true;
             }
         }
@@ -58,7 +58,7 @@
      * Computes the mean number of attempts at the lowest level for one request at the top. Each level makes 1 + f + f^2
      * + ... attempts, where f is the share of them that fail.
      */
-    public static double expected(int levels, int maxAttempts, double failingShare) {
+    public static double expectedAttempts(int levels, int maxAttempts, double failingShare) {
         double attempts = 1;
         double failing = failingShare;
         for (int level = levels; level > 0; level--) {
--- a/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
+++ b/kit/src/main/java/portrelay/fleet/ScalingBenchmark.java
@@ -35,7 +35,7 @@
     private static final int WARM_UPS = 3;
     private static final int REQUESTS = 400;
     private static final int CHANGED_ROWS = 10;
-    private static final double START = 100;
+    private static final double START_TIME = 100;
     private static final double DEADLINE_SECONDS = 2;
     private static final double LATENCY_SECONDS = 0.02;
     private static final double PAUSE_SECONDS = 0.005;
@@ -98,20 +98,21 @@
 
     /** Measures once, in a stack frame of its own, so that no object of one measurement is reachable in the next. */
     private static Costs measureOnce(List<Endpoint> endpoints, int seed, int sidecars, boolean hasMessages) {
-        LastActions actions = new LastActions();
+        RecordingActions actions = new RecordingActions();
         long memoryBefore = usedMemory();
         LoadBalancer loadBalancer = new LoadBalancer(actions, seed, config(sidecars, hasMessages));
-        loadBalancer.start(START);
-        double firstList = micros(() -> loadBalancer.endpointsUpdated(START, EndpointUpdate.COMPLETE, endpoints));
-        double changedRow = micros(() -> {
+        loadBalancer.start(START_TIME);
+        double firstList =
+                measureMicros(() -> loadBalancer.endpointsUpdated(START_TIME, EndpointUpdate.COMPLETE, endpoints));
+        double changedRow = measureMicros(() -> {
                     for (int i = 0; i < CHANGED_ROWS; i++) {
                         loadBalancer.endpointsUpdated(
-                                START + 0.1, EndpointUpdate.INCREMENTAL, List.of(endpoint(i % endpoints.size())));
+                                START_TIME + 0.1, EndpointUpdate.INCREMENTAL, List.of(endpoint(i % endpoints.size())));
                     }
                 })
                 / CHANGED_ROWS;
-        double[] now = {START + 1};
-        double request = micros(() -> {
+        double[] now = {START_TIME + 1};
+        double request = measureMicros(() -> {
                     for (int i = 0; i < REQUESTS; i++) {
                         serveRequest(loadBalancer, actions, new RequestId("q" + i), now);
                     }
@@ -120,7 +121,7 @@
         String message = actions.lastMessage;
         double messageCost = message == null
                 ? 0
-                : micros(() -> {
+                : measureMicros(() -> {
                             for (int i = 0; i < REQUESTS; i++) {
                                 int from = 1 + i % Math.max(1, sidecars - 1);
                                 loadBalancer.peerMessageReceived(now[0], from, message);
@@ -133,7 +134,7 @@
         return new Costs(firstList, changedRow, request, messageCost, memory);
     }
 
-    private static void serveRequest(LoadBalancer loadBalancer, LastActions actions, RequestId id, double[] now) {
+    private static void serveRequest(LoadBalancer loadBalancer, RecordingActions actions, RequestId id, double[] now) {
         actions.lastUpstream = null;
         loadBalancer.requestArrived(
                 now[0], new RequestArrival(id, new RequestClassId(0), null, null, now[0] + DEADLINE_SECONDS, 0, false));
@@ -165,7 +166,7 @@
                 new InstanceTypeId(number % 3));
     }
 
-    private static double micros(Runnable action) {
+    private static double measureMicros(Runnable action) {
         long startedAt = System.nanoTime();
         action.run();
         return (System.nanoTime() - startedAt) / NANOS_PER_MICRO;
@@ -181,7 +182,7 @@
     }
 
     /** Records the last attempt and the last message, and performs no action. */
-    private static final class LastActions implements LoadBalancerActions {
+    private static final class RecordingActions implements LoadBalancerActions {
         private UpstreamId lastUpstream;
         private String lastMessage;
 
--- a/kit/src/main/java/portrelay/fleet/Scenario.java
+++ b/kit/src/main/java/portrelay/fleet/Scenario.java
@@ -20,26 +20,26 @@
     })),
 
     /** One upstream in forty stops answering for good; the endpoint list shows it as gone 3 s later. */
-    RACK(fleet -> lose(fleet, 40, 3, Double.NaN)),
+    RACK(fleet -> failUpstreams(fleet, 40, 3, Double.NaN)),
 
     /**
      * One upstream in twelve stops answering; the endpoint list shows it as gone after 3 s, and it is back, cold, after
      * 5 s.
      */
-    ZONE(fleet -> lose(fleet, 12, 3, 5)),
+    ZONE(fleet -> failUpstreams(fleet, 12, 3, 5)),
 
     /** Three regions are partitioned from each other for 5 s: requests, messages and endpoint lists are affected. */
     REGIONS(fleet -> {
         fleet.setRegionsPartitioned(true);
-        fleet.events.schedule(1, fleet::announceChangeOfAll);
+        fleet.events.schedule(1, fleet::announceChangeOfAllServices);
         fleet.events.schedule(5, () -> {
             fleet.setRegionsPartitioned(false);
-            fleet.announceChangeOfAll();
+            fleet.announceChangeOfAllServices();
         });
     }),
 
     /** Every sidecar receives its complete endpoint list again. */
-    CHANGE(SimulatedFleet::announceChangeOfAll);
+    CHANGE(SimulatedFleet::announceChangeOfAllServices);
 
     private static final double DEPLOY_SECONDS = 4;
     private static final double DRAIN_SECONDS = 1.5;
@@ -75,24 +75,25 @@
     /**
      * Makes a share of the upstreams silent, all of them in one zone, as happens to machines that share a switch.
      *
-     * @param oneIn the share is 1 / {@code oneIn}, at least one upstream
+     * @param upstreamsPerFailure the share is 1 / {@code upstreamsPerFailure}, at least one upstream
      * @param updateDelay seconds until the endpoint list shows them as gone
      * @param returnDelay seconds until they are back, cold; NaN for never
      */
-    private static void lose(SimulatedFleet fleet, int oneIn, double updateDelay, double returnDelay) {
-        List<SimulatedUpstream> lost = fleet.upstreams.stream()
+    private static void failUpstreams(
+            SimulatedFleet fleet, int upstreamsPerFailure, double updateDelay, double returnDelay) {
+        List<SimulatedUpstream> failed = fleet.upstreams.stream()
                 .filter(each -> each.zone == 0)
-                .limit(Math.max(1, fleet.upstreams.size() / oneIn))
+                .limit(Math.max(1, fleet.upstreams.size() / upstreamsPerFailure))
                 .toList();
-        lost.forEach(each -> each.isSilent = true);
+        failed.forEach(each -> each.isSilent = true);
         fleet.events.schedule(updateDelay, () -> {
-            lost.forEach(each -> each.isGone = true);
-            announceChange(fleet, lost);
+            failed.forEach(each -> each.isGone = true);
+            announceChange(fleet, failed);
         });
         if (!Double.isNaN(returnDelay)) {
             fleet.events.schedule(returnDelay, () -> {
-                lost.forEach(each -> each.startWarmingUp(fleet.events.now()));
-                announceChange(fleet, lost);
+                failed.forEach(each -> each.startWarmingUp(fleet.events.now()));
+                announceChange(fleet, failed);
             });
         }
     }
--- a/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedFleet.java
@@ -118,14 +118,14 @@
     private static int[] serviceSizes(int upstreams, int services) {
         int[] sizes = new int[services];
         Arrays.fill(sizes, 1);
-        int left = upstreams - services;
+        int remaining = upstreams - services;
         double sum = IntStream.range(0, services)
                 .mapToDouble(i -> 1 / Math.sqrt(i + 1.0))
                 .sum();
         for (int i = 0; i < services; i++) {
-            sizes[i] += (int) (left / Math.sqrt(i + 1.0) / sum);
+            sizes[i] += (int) (remaining / Math.sqrt(i + 1.0) / sum);
         }
-        for (int i = 0, rest = upstreams - Arrays.stream(sizes).sum(); rest > 0; rest--) {
+        for (int i = 0, unassigned = upstreams - Arrays.stream(sizes).sum(); unassigned > 0; unassigned--) {
             sizes[i++ % services]++;
         }
         return sizes;
@@ -183,7 +183,7 @@
     private void scheduleNextRequest(SimulatedSidecar sidecar) {
         double mean = size.servicesCalled() / size.requestsPerSecond();
         events.schedule(-mean * Math.log(1 - random.nextDouble()), () -> {
-            sidecar.request(REQUEST_CLASSES.get(CLASS_MIX[random.nextInt(CLASS_MIX.length)]), DEADLINE_SECONDS);
+            sidecar.requestArrived(REQUEST_CLASSES.get(CLASS_MIX[random.nextInt(CLASS_MIX.length)]), DEADLINE_SECONDS);
             scheduleNextRequest(sidecar);
         });
     }
@@ -238,7 +238,7 @@
                         events.schedule(random.nextDouble() * MAX_LIST_DELAY_SECONDS, () -> sendEndpoints(each)));
     }
 
-    void announceChangeOfAll() {
+    void announceChangeOfAllServices() {
         IntStream.range(0, upstreamsByService.size()).forEach(this::announceChange);
     }
 
--- a/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedSidecar.java
@@ -86,7 +86,7 @@
         openRequests.clear();
         drainKnownSince.clear();
         loadBalancer = fleet.createLoadBalancer(this);
-        timeControl(() -> loadBalancer.start(now()));
+        measureControl(() -> loadBalancer.start(now()));
         fleet.sendEndpoints(this);
     }
 
@@ -95,28 +95,28 @@
     }
 
     void endpointsUpdated(List<Endpoint> endpoints, EndpointUpdate update) {
-        for (Endpoint each : endpoints) {
-            if (each.health() == Endpoint.Health.READY) {
-                drainKnownSince.remove(each.id());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.health() == Endpoint.Health.READY) {
+                drainKnownSince.remove(endpoint.id());
             } else {
-                drainKnownSince.putIfAbsent(each.id(), now());
+                drainKnownSince.putIfAbsent(endpoint.id(), now());
             }
         }
-        timeControl(() -> loadBalancer.endpointsUpdated(now(), update, endpoints));
+        measureControl(() -> loadBalancer.endpointsUpdated(now(), update, endpoints));
     }
 
     void peerMessageReceived(int from, String text) {
         bytesReceived += text.length() + SimulatedFleet.DATAGRAM_HEADER_BYTES;
-        timeControl(() -> loadBalancer.peerMessageReceived(now(), from, text));
+        measureControl(() -> loadBalancer.peerMessageReceived(now(), from, text));
     }
 
     /** Accepts a request of a client. The time to the deadline counts from now. */
-    void request(RequestClass requestClass, double secondsToDeadline) {
+    void requestArrived(RequestClass requestClass, double secondsToDeadline) {
         RequestId id = new RequestId(process + "-" + service + "-" + fleet.counters.requests++);
         Request request = new Request(id, requestClass, now(), now() + secondsToDeadline, incarnation);
         openRequests.put(id, request);
         fleet.events.schedule(secondsToDeadline, () -> deadlinePassed(request));
-        timeRequest(() -> loadBalancer.requestArrived(
+        measureRequest(() -> loadBalancer.requestArrived(
                 now(),
                 new RequestArrival(
                         id,
@@ -144,25 +144,26 @@
         });
     }
 
-    private void attemptEnded(Request request, int index, Outcome outcome) {
-        Attempt attempt = request.attempts.get(index);
+    private void attemptEnded(Request request, int attemptNumber, Outcome outcome) {
+        Attempt attempt = request.attempts.get(attemptNumber);
         if (request.incarnation != incarnation || attempt.outcome != null) {
             return;
         }
         attempt.outcome = outcome;
         request.inFlight--;
         if (outcome == Outcome.SERVED && !request.isAnswered) {
-            answered(request);
+            recordAnswer(request);
             fleet.counters.served++;
             fleet.counters.servedInTime += now() - request.arrivedAt <= request.requestClass.latencyObjective() ? 1 : 0;
         }
-        timeRequest(() -> loadBalancer.attemptEnded(now(), request.id, index, outcome, request.isAnswered, null));
+        measureRequest(
+                () -> loadBalancer.attemptEnded(now(), request.id, attemptNumber, outcome, request.isAnswered, null));
         if (request.isAnswered && request.inFlight == 0) {
             openRequests.remove(request.id);
         }
     }
 
-    private void answered(Request request) {
+    private void recordAnswer(Request request) {
         request.isAnswered = !ignoresAnswers;
     }
 
@@ -171,13 +172,13 @@
         ignoresAnswers = true;
     }
 
-    private void timeRequest(Runnable decision) {
+    private void measureRequest(Runnable decision) {
         long startedAt = System.nanoTime();
         decision.run();
         fleet.counters.requestNanos += System.nanoTime() - startedAt;
     }
 
-    private void timeControl(Runnable decision) {
+    private void measureControl(Runnable decision) {
         long startedAt = System.nanoTime();
         decision.run();
         fleet.counters.controlNanos += System.nanoTime() - startedAt;
@@ -234,18 +235,18 @@
     @Override
     public void reject(RequestId id, double retryAfter) {
         fleet.counters.rejected++;
-        answeredWithoutUpstream(id);
+        answerWithoutUpstream(id);
     }
 
     @Override
     public void fail(RequestId id) {
         fleet.counters.failed++;
-        answeredWithoutUpstream(id);
+        answerWithoutUpstream(id);
     }
 
-    private void answeredWithoutUpstream(RequestId id) {
+    private void answerWithoutUpstream(RequestId id) {
         Request request = openRequests.get(id);
-        answered(request);
+        recordAnswer(request);
         if (request.inFlight == 0) {
             openRequests.remove(id);
         }
@@ -253,10 +254,10 @@
 
     @Override
     public void wakeUpAt(double time) {
-        int sender = incarnation;
+        int scheduledIncarnation = incarnation;
         fleet.events.scheduleAt(time, () -> {
-            if (sender == incarnation) {
-                timeControl(() -> loadBalancer.wakeUp(now()));
+            if (scheduledIncarnation == incarnation) {
+                measureControl(() -> loadBalancer.wakeUp(now()));
             }
         });
     }
--- a/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
+++ b/kit/src/main/java/portrelay/fleet/SimulatedUpstream.java
@@ -101,12 +101,12 @@
         while (recentArrivals[firstRecentArrival % recentArrivals.length] < now - slowStart.overloadWindow()) {
             firstRecentArrival++;
         }
-        double middle = Math.max(startedAt, now - slowStart.overloadWindow()) + slowStart.overloadWindow() / 2;
+        double windowMiddle = Math.max(startedAt, now - slowStart.overloadWindow()) + slowStart.overloadWindow() / 2;
         double allowed = slowStart.overloadFactor()
                 * coreFreeAt.length
                 / workSeconds
                 * slowStart.overloadWindow()
-                * slowStart.capacityShare(startedAt, middle);
+                * slowStart.capacityShare(startedAt, windowMiddle);
         slowStartExcess =
                 Math.max(slowStartExcess, arrivals - firstRecentArrival - allowed - 2 * Math.sqrt(allowed) - 2);
     }
--- a/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ReadyCommand.java
@@ -20,8 +20,8 @@
 @Parameters(commandDescription = "time real sidecars that start at once before a discovery that refuses")
 final class ReadyCommand implements Command {
 
-    private static final int BAD_USE = 2;
-    private static final int FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
     private static final int MAX_PROCESSES = 200;
     private static final int MAX_UPSTREAMS = 10_000;
     /** The share of calls that discovery refuses at the beginning. */
@@ -55,16 +55,16 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit ready: " + invalid);
-            return BAD_USE;
+            return EXIT_USAGE;
         }
         try {
             return timeStarts();
         } catch (IOException e) {
             System.err.println("portrelay-kit ready: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return FAILED;
+            return EXIT_FAILURE;
         }
     }
 
@@ -114,8 +114,8 @@
             watchers.add(watcher);
             watcher.start();
         }
-        for (Thread each : watchers) {
-            each.join();
+        for (Thread watcher : watchers) {
+            watcher.join();
         }
     }
 
@@ -147,15 +147,15 @@
             System.out.printf(Locale.ROOT, "n%d ready after %.2f s%n", i, readyAfter[i]);
         }
         Arrays.sort(readyAfter);
-        double nineInTen = readyAfter[(int) Math.ceil(0.9 * processes) - 1];
+        double p90Seconds = readyAfter[(int) Math.ceil(0.9 * processes) - 1];
         System.out.printf(
                 Locale.ROOT,
                 "%d processes, %d a core: half %.2f s, nine in ten %.2f s, last %.2f s%n",
                 processes,
                 processesPerCore,
                 readyAfter[(processes - 1) / 2],
-                nineInTen,
+                p90Seconds,
                 readyAfter[processes - 1]);
-        return nineInTen <= readyWithinSeconds ? 0 : FAILED;
+        return p90Seconds <= readyWithinSeconds ? 0 : EXIT_FAILURE;
     }
 }
--- a/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ScaleCommand.java
@@ -29,8 +29,8 @@
 @Parameters(commandDescription = "play simulated sidecars, many in one process: what the fleet's size costs")
 final class ScaleCommand implements Command {
 
-    private static final int BAD_USE = 2;
-    private static final int FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
     private static final int MIN_SIDECARS = 2;
     private static final int MAX_SIDECARS = 5000;
     private static final int MAX_SERVICES_CALLED = 50;
@@ -44,7 +44,7 @@
     private static final int CALL_LEVELS = 7;
 
     private static final int MAX_ATTEMPTS = 4;
-    private static final int MAX_ATTEMPTS_WITH_HEDGES_ALONE = 2;
+    private static final int MAX_ATTEMPTS_WITH_HEDGES_ONLY = 2;
     private static final double[] FAILING_SHARES = {0.01, 0.1, 0.5, 1};
 
     @Parameter(names = "--sidecars", description = "sizes of the fleet, with as many upstreams")
@@ -66,13 +66,13 @@
     private long seed = 1;
 
     @Parameter(names = "--slopes", description = "no fleet: what one sidecar's decisions cost by its list")
-    private boolean onlyOneSidecar = false;
+    private boolean measuresOneSidecar = false;
 
     @Parameter(names = "--no-messages", description = "sidecars have no way to talk")
     private boolean withoutMessages = false;
 
     @Parameter(names = "--budget", description = "a cost over the budget for control fails, too")
-    private boolean budgetsCount = false;
+    private boolean failsOverBudget = false;
 
     @Parameter(names = "--report", description = "where to write the figures, as JSON")
     private String reportFile = null;
@@ -83,9 +83,9 @@
         String invalid = invalidOption(scenarios);
         if (invalid != null) {
             System.err.println("portrelay-kit scale: " + invalid);
-            return BAD_USE;
+            return EXIT_USAGE;
         }
-        return onlyOneSidecar ? measureOneSidecar() : playFleets(scenarios);
+        return measuresOneSidecar ? measureOneSidecar() : playFleets(scenarios);
     }
 
     private List<Scenario> scenarios() {
@@ -124,19 +124,19 @@
         System.out.println("scenario  sidecars upstreams  served in-time refused  attempts  cold-over"
                 + "  datagrams/s  sent B/s (most)  heard B/s (most)  request us  control core  KB/sidecar");
         for (int size : sidecars) {
-            for (Scenario each : scenarios) {
-                System.err.println("playing " + nameOf(each) + " with " + size + " ...");
-                FleetRun run = FleetRun.play(each, seed, fleetSize(size));
+            for (Scenario nextScenario : scenarios) {
+                System.err.println("playing " + nameOf(nextScenario) + " with " + size + " ...");
+                FleetRun run = FleetRun.play(nextScenario, seed, fleetSize(size));
                 runs.add(run.figures());
                 printFleet(run.figures());
                 run.brokenRules().forEach(rule -> System.out.println("  BROKEN " + rule));
                 run.brokenBudgets().forEach(budget -> System.out.println("  over budget: " + budget));
                 hasPassed &= run.brokenRules().isEmpty()
-                        && (!budgetsCount || run.brokenBudgets().isEmpty());
+                        && (!failsOverBudget || run.brokenBudgets().isEmpty());
             }
         }
         printGrowth(runs, "request_us", "control_core", "bytes_s_mean", "heard_bytes_s_most", "memory_kb");
-        return writeReport(runs) && hasPassed ? 0 : FAILED;
+        return writeReport(runs) && hasPassed ? 0 : EXIT_FAILURE;
     }
 
     private FleetSize fleetSize(int size) {
@@ -175,10 +175,10 @@
                     Locale.ROOT,
                     "7 deep, %.2f of the lowest fail: %.3f attempts there with up to 4 each, %.3f with up to 2%n",
                     failing,
-                    RetryAmplification.expected(CALL_LEVELS, MAX_ATTEMPTS, failing),
-                    RetryAmplification.expected(CALL_LEVELS, MAX_ATTEMPTS_WITH_HEDGES_ALONE, failing));
+                    RetryAmplification.expectedAttempts(CALL_LEVELS, MAX_ATTEMPTS, failing),
+                    RetryAmplification.expectedAttempts(CALL_LEVELS, MAX_ATTEMPTS_WITH_HEDGES_ONLY, failing));
         }
-        return writeReport(runs) ? 0 : FAILED;
+        return writeReport(runs) ? 0 : EXIT_FAILURE;
     }
 
     /** Prints how each figure grows with the number of sidecars, if there are enough sizes and no figure is 0. */
--- a/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
+++ b/kit/src/main/java/portrelay/kit/cli/ShutdownCommand.java
@@ -25,10 +25,10 @@
         commandDescription = "shut real sidecars down under drawn disturbances and judge what became of each request")
 final class ShutdownCommand implements Command {
 
-    private static final int BAD_USE = 2;
-    private static final int FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_FAILURE = 1;
     private static final int MAX_ROUNDS = 10_000;
-    private static final int MAX_AT_ONCE = 8;
+    private static final int MAX_PARALLEL_ROUNDS = 8;
 
     @Parameter(names = "--seed", description = "of the first round; the next ones count up from it")
     private long seed = 1;
@@ -37,7 +37,7 @@
     private int count = 10;
 
     @Parameter(names = "--at-once", description = "how many rounds run side by side")
-    private int atOnce = 1;
+    private int parallelRounds = 1;
 
     @Parameter(names = "--files", description = "where configurations and logs are kept; a temporary folder by default")
     private String filesFolder;
@@ -47,16 +47,16 @@
         String invalid = invalidOption();
         if (invalid != null) {
             System.err.println("portrelay-kit shutdown: " + invalid);
-            return BAD_USE;
+            return EXIT_USAGE;
         }
         try {
             return play();
         } catch (IOException e) {
             System.err.println("portrelay-kit shutdown: " + e.getMessage());
-            return FAILED;
+            return EXIT_FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return FAILED;
+            return EXIT_FAILURE;
         }
     }
 
@@ -65,15 +65,15 @@
         if (count < 1 || count > MAX_ROUNDS) {
             return "--count: 1 to " + MAX_ROUNDS;
         }
-        if (atOnce < 1 || atOnce > MAX_AT_ONCE) {
-            return "--at-once: 1 to " + MAX_AT_ONCE;
+        if (parallelRounds < 1 || parallelRounds > MAX_PARALLEL_ROUNDS) {
+            return "--at-once: 1 to " + MAX_PARALLEL_ROUNDS;
         }
         return null;
     }
 
     private int play() throws IOException, InterruptedException {
         Path folder = filesFolder == null ? Files.createTempDirectory("portrelay-shutdown") : Path.of(filesFolder);
-        ExecutorService workers = Executors.newFixedThreadPool(atOnce);
+        ExecutorService workers = Executors.newFixedThreadPool(parallelRounds);
         List<Future<List<ShutdownReport>>> rounds = new ArrayList<>();
         for (long roundSeed = seed; roundSeed < seed + count; roundSeed++) {
             ShutdownPlan plan = ShutdownPlan.draw(roundSeed);
@@ -91,9 +91,9 @@
     private int print(List<Future<List<ShutdownReport>>> rounds, Path folder) throws InterruptedException {
         ShutdownTotals totals = new ShutdownTotals();
         long roundSeed = seed;
-        for (Future<List<ShutdownReport>> each : rounds) {
+        for (Future<List<ShutdownReport>> round : rounds) {
             try {
-                List<ShutdownReport> plays = each.get();
+                List<ShutdownReport> plays = round.get();
                 plays.forEach(ShutdownCommand::print);
                 totals.add(plays);
             } catch (ExecutionException e) {
@@ -103,7 +103,7 @@
             roundSeed++;
         }
         System.out.println(count + " rounds from seed " + seed + ": " + totals + "; logs in " + folder);
-        return totals.isGood() ? 0 : FAILED;
+        return totals.isGood() ? 0 : EXIT_FAILURE;
     }
 
     private static void print(ShutdownReport report) {
